--- a/scripts/fleet.py
+++ b/scripts/fleet.py
@@ -16,6 +16,8 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 BUILD = pathlib.Path(os.environ.get("BUILD_DIR", ROOT / "build"))
+# Build that every second entry runs, such as another release.
+SECOND_BUILD = pathlib.Path(os.environ.get("SECOND_BUILD_DIR", BUILD))
 OPERATOR_TOKEN = "example-operator-token"
 START_SECONDS = 30
 
@@ -156,7 +158,9 @@
         name = settings["name"]
         file = self.folder / f"{name}.json"
         file.write_text(json.dumps(settings, indent=2))
-        process = Process(name, [str(BUILD / "bin/catkinwingd"), "--config", str(file)], self.folder / f"{name}.log")
+        entries = sum(hasattr(process, "operators") for process in self.processes.values())
+        build = SECOND_BUILD if entries % 2 else BUILD
+        process = Process(name, [str(build / "bin/catkinwingd"), "--config", str(file)], self.folder / f"{name}.log")
         process.address = settings["listen"]["callers"]
         process.operators = settings["listen"]["operators"]
         process.peers = settings["listen"]["peers"]
--- a/test/soak/soak.py
+++ b/test/soak/soak.py
@@ -72,7 +72,8 @@
                 await self.add_endpoint(service, zone)
         for zone in ZONES:
             for number in (1, 2):
-                entry = fleet.Entry(number, zone, ZONES, self.arguments.binary, self.folder, self.store.port)
+                binary = self.arguments.second_binary if number == 2 and self.arguments.second_binary else self.arguments.binary
+                entry = fleet.Entry(number, zone, ZONES, binary, self.folder, self.store.port)
                 self.entries.append(entry)
                 await entry.start_first()
         await self.wait_ready()
@@ -412,6 +413,7 @@
 def main():
     parser = argparse.ArgumentParser()
     parser.add_argument("--binary", default="build/bin/catkinwingd")
+    parser.add_argument("--second-binary", help="binary of every second entry, such as another release (default: the same)")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=12)
     parser.add_argument("--callers", type=int, default=16)
