--- a/include/catkinwing/Routing/BaselinePlacement.h
+++ b/include/catkinwing/Routing/BaselinePlacement.h
@@ -4,9 +4,10 @@
 
 namespace catkinwing {
 
-/// The baselines, for measuring only. They keep to residency, endpoint states,
-/// limits and tried endpoints as the policy does, and know nothing of prefixes,
-/// speeds or reports. choosePlacement calls them by RoutingPolicy::algorithm.
+/// Baseline algorithms, used only to measure the default algorithm against.
+/// They respect endpoint states, in-flight limits and earlier attempts, but
+/// ignore cached prefixes, endpoint speeds and load reports. choosePlacement
+/// checks residency and then calls the one that RoutingPolicy::algorithm selects.
 PlacementResult chooseRoundRobin(const RoutingRequest& request, const CellView& cell, const RoutingPolicy& policy, TimePoint now);
 PlacementResult chooseLeastInFlight(const RoutingRequest& request, const CellView& cell, const RoutingPolicy& policy, Random& random, TimePoint now);
 PlacementResult choosePowerOfTwo(const RoutingRequest& request, const CellView& cell, const RoutingPolicy& policy, Random& random, TimePoint now);
--- a/include/catkinwing/Routing/CellView.h
+++ b/include/catkinwing/Routing/CellView.h
@@ -8,8 +8,9 @@
 
 namespace catkinwing {
 
-/// The endpoints of one availability zone as one entry sees them, with an index
-/// by model so that a decision doesn't visit every endpoint.
+/// One entry's view of the endpoints of a cell, that is, of one availability
+/// zone. Indexed by model, so that a routing decision need not visit every
+/// endpoint.
 class CellView {
 public:
     CellView(std::string region, std::string zone);
@@ -18,36 +19,41 @@
     const std::string& zone() const { return m_zone; }
     /// Returns the number of endpoints.
     std::size_t size() const { return m_byName.size(); }
-    /// Returns one more than the highest handle ever in use at once.
+    /// Returns the exclusive upper bound of all handles handed out so far.
     std::size_t handleLimit() const { return m_slots.size(); }
 
-    /// Adds \p endpoint or replaces the one of its name. The handle stays the
-    /// same for as long as the name is in the cell.
+    /// Adds \p endpoint or replaces the endpoint of the same name. A handle stays
+    /// valid until its endpoint is removed.
     EndpointHandle upsert(EndpointView endpoint);
-    /// Removes the endpoint of that name, if there is one.
+    /// Removes the endpoint called \p name, if present.
     void remove(absl::string_view name);
-    /// Returns the handle for \p name, or nothing.
+    /// Returns the handle of the endpoint called \p name, if present.
     std::optional<EndpointHandle> find(absl::string_view name) const;
-    /// Returns whether \p handle names an endpoint.
+    /// Returns whether \p handle refers to an endpoint of the cell.
     bool contains(EndpointHandle handle) const;
-    /// Returns the endpoint of a valid handle; the reference lasts until the
-    /// next upsert.
+    /// Returns the endpoint of a valid handle. The next upsert invalidates the
+    /// reference.
     const EndpointView& endpoint(EndpointHandle handle) const { return m_slots[handle].view; }
-    /// Lets \p change alter an endpoint, all but its name, and renews the index.
+    /// Applies \p change to an endpoint and updates the indexes. \p change must
+    /// not alter the name.
     void modify(EndpointHandle handle, absl::FunctionRef<void(EndpointView&)> change);
 
-    /// Returns all endpoints that serve \p model, in the order of arrival.
+    /// Returns all endpoints that serve \p model, in the order in which they were
+    /// indexed.
     absl::Span<const EndpointHandle> endpointsFor(absl::string_view model) const;
-    /// Returns those that serve \p model and take a request now, in any order.
+    /// Returns the endpoints that serve \p model and accept a request now, in
+    /// unspecified order.
     absl::Span<const EndpointHandle> openEndpointsFor(absl::string_view model) const;
-    /// Returns those that have \p adapter loaded, whatever models they serve.
+    /// Returns the endpoints that have \p adapter loaded, for any model.
     absl::Span<const EndpointHandle> endpointsWithAdapter(absl::string_view adapter) const;
-    /// Returns whether the endpoint serves \p model and takes a request now.
+    /// Returns whether the endpoint serves \p model and accepts a request now.
     bool isOpenFor(EndpointHandle handle, absl::string_view model) const;
-    /// Returns the requests that this entry could still place for \p model.
+    /// Returns how many more requests for \p model this entry may dispatch now,
+    /// summed over the open endpoints.
     unsigned freeCredits(absl::string_view model) const;
 
-    /// The calls that most events need, as short forms of modify.
+    /// Updates for frequent events, cheaper than modify. See the functions of the
+    /// same names in EndpointView.h.
     void recordDispatch(EndpointHandle handle, double prefillTokens, TimePoint now);
     void recordFirstToken(EndpointHandle handle, double prefillTokens);
     void recordSettled(EndpointHandle handle, TimePoint now);
@@ -61,9 +67,10 @@
     struct Slot {
         EndpointView view;
         bool used { false };
-        /// True while the endpoint stands in the open lists.
+        /// True while the endpoint is in the open lists of its models.
         bool listedOpen { false };
-        /// For each model of the view, its place in that model's open list.
+        /// For each model of the view, the endpoint's index in that model's open
+        /// list. Empty unless the endpoint is open.
         std::vector<std::uint32_t> openPositions;
     };
 
--- a/include/catkinwing/Routing/CostModel.h
+++ b/include/catkinwing/Routing/CostModel.h
@@ -5,46 +5,48 @@
 
 namespace catkinwing {
 
-/// What the cost of one request at one endpoint depends on.
+/// The request-dependent inputs of a cost prediction for one endpoint.
 struct CostInputs {
     double promptTokens { 0 };
-    /// Tokens expected in the endpoint's prefix cache.
+    /// Prompt tokens expected in the endpoint's prefix cache.
     double cachedTokens { 0 };
-    /// True where the request's adapter must be loaded first.
+    /// True if the endpoint must load the request's adapter first.
     bool needsAdapterLoad { false };
 };
 
-/// The parts of a predicted time to first token.
+/// The terms of a predicted time to first token.
 struct CostTerms {
-    /// Prefill of others that goes first.
+    /// Prefill of requests that are ahead in the endpoint's queue.
     Duration queue { 0 };
     /// Wait for a slot in the engine.
     Duration slotWait { 0 };
-    /// The request's own prefill that is not cached.
+    /// Prefill of the request's own uncached tokens.
     Duration prefill { 0 };
     Duration network { 0 };
     Duration adapterLoad { 0 };
     /// Surcharge while the endpoint is in slow start.
     Duration slowStart { 0 };
-    /// Sum of the above.
+    /// Sum of all terms above.
     Duration total { 0 };
-    /// Tokens to be prefilled.
+    /// Uncached prompt tokens of the request.
     double prefillTokens { 0 };
 };
 
-/// Returns the requests believed to be at \p endpoint, of this entry and others.
+/// Estimates the requests in flight at \p endpoint, from this entry and, if the
+/// load report is recent enough, from other entries.
 unsigned believedInFlight(const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now);
 
 /// Predicts the time to first token of a request at \p endpoint.
 CostTerms predictTimeToFirstToken(const EndpointView& endpoint, const CostInputs& inputs, const RoutingPolicy& policy, TimePoint now);
 
 /// Returns the margin within which predictions count as equal to \p best, the
-/// least one, which belongs to \p endpoint.
+/// shortest prediction, which is that of \p endpoint.
 Duration nearBestMargin(Duration best, const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now);
 
-/// Returns whether \p candidate counts as equal to \p best: within \p margin, and
-/// with no more left to prefill. Random choice spreads the queues; it doesn't
-/// give up what is cached.
+/// Returns whether \p candidate counts as equal to \p best: its prediction is
+/// within \p margin, and it has at most RoutingPolicy::nearBestTokens more tokens
+/// to prefill. The second condition keeps the random choice among equal
+/// candidates, which spreads the load, from losing cache hits.
 bool isNearBest(const CostTerms& candidate, const CostTerms& best, Duration margin, const RoutingPolicy& policy);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/Hedging.h
+++ b/include/catkinwing/Routing/Hedging.h
@@ -8,13 +8,15 @@
 
 namespace catkinwing {
 
-/// Quantiles of a latency that follows changes: counts in buckets of equal
-/// ratio, halved as they fill up.
+/// Estimates quantiles of a latency that changes over time. Samples are counted
+/// in buckets of geometrically growing width; the counts are halved whenever
+/// their total reaches a limit, so that recent samples dominate.
 class LatencyQuantiles {
 public:
     void record(Duration latency);
-    /// Returns the latency that \p fraction (0 to 1) of the samples don't pass,
-    /// to within a fifth; nothing until \c minimumSamples came.
+    /// Returns the latency that \p fraction (0 to 1) of the samples don't exceed,
+    /// accurate to within a fifth. Returns nothing while fewer than
+    /// \c minimumSamples are counted.
     std::optional<Duration> quantile(double fraction) const;
 
     static constexpr std::uint32_t minimumSamples = 50;
@@ -27,35 +29,36 @@
     std::uint32_t m_total { 0 };
 };
 
-/// When a second attempt may run beside the first.
+/// When a second attempt may run concurrently with the first.
 struct HedgePolicy {
     bool enabled { true };
-    /// The first attempt must have waited longer than this share of its like.
+    /// Quantile of the wait for the first token that the first attempt must exceed.
     double quantile { 0.95 };
     Duration minimumWait { std::chrono::milliseconds(50) };
     unsigned maxHedges { 1 };
 };
 
-/// All that a hedge depends on.
+/// Inputs of a hedging decision.
 struct HedgeInputs {
     bool idempotent { false };
-    /// True once any byte of the answer went to the caller.
+    /// True once any byte of the answer was sent to the caller.
     bool delivered { false };
     unsigned hedgesSoFar { 0 };
-    /// Time that the present attempt has run.
+    /// Time since the start of the current attempt.
     Duration elapsed { 0 };
-    /// The learned quantile for requests of this kind, where known.
+    /// Measured wait for the first token of requests of this kind, at
+    /// HedgePolicy::quantile. Empty while there are too few samples.
     std::optional<Duration> learnedWait;
-    /// Whether the cell's retry budget has a token.
+    /// True if the cell's retry budget allows another attempt.
     bool budgetAvailable { false };
-    /// Time until the caller gives up, where known.
+    /// Time until the caller's deadline, if known.
     std::optional<Duration> timeLeft;
-    /// Predicted time to first token of the second attempt, where there is
-    /// another endpoint for it.
+    /// Predicted time to first token of the second attempt. Empty if no other
+    /// endpoint is available.
     std::optional<Duration> secondPrediction;
 };
 
-/// Whether to hedge, and else why not.
+/// Whether to hedge, or the reason not to.
 enum class HedgeDecision { Hedge,
     Disabled,
     NotIdempotent,
@@ -67,7 +70,7 @@
     TooLateToHelp,
     NoBudget };
 
-/// Decides whether a second attempt of a request starts now.
+/// Decides whether to start a second attempt of a request now.
 HedgeDecision shouldHedge(const HedgeInputs& inputs, const HedgePolicy& policy);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/OutlierDetector.h
+++ b/include/catkinwing/Routing/OutlierDetector.h
@@ -10,85 +10,93 @@
 
 namespace catkinwing {
 
-/// When an endpoint is set aside, and for how long.
+/// When an endpoint is ejected, and for how long.
 struct OutlierPolicy {
-    /// Refused connections in a row that set an endpoint aside, whatever its peers
-    /// do: nothing is served there.
+    /// Consecutive failed connections after which an endpoint is ejected,
+    /// regardless of its peers, since it can't serve any request.
     unsigned consecutiveUnreachable { 3 };
-    /// Time until an unreachable endpoint is tried again; doubles with each
-    /// further refusal up to \c baseEjection.
+    /// First ejection time of an unreachable endpoint. Doubles with each further
+    /// ejection as unreachable, up to \c baseEjection.
     Duration unreachableRetry { std::chrono::seconds(1) };
-    /// Errors in a row that make an endpoint suspect.
+    /// Consecutive errors that make an endpoint suspect.
     unsigned consecutiveErrors { 5 };
-    /// Share of errors that makes an endpoint suspect.
+    /// Error rate (0 to 1) that makes an endpoint suspect.
     double errorRate { 0.5 };
-    /// An endpoint slower than its peers' median by this factor is suspect.
+    /// An endpoint is suspect if its latency exceeds the median of its peer group
+    /// by this factor.
     double latencyFactor { 4.0 };
-    /// Outcomes seen before the error rate and the latency count.
+    /// Minimum number of outcomes (or latencies) before the error rate (or the
+    /// latency) of an endpoint is used.
     unsigned minimumOutcomes { 10 };
-    /// Weight of the newest outcome in the averages.
+    /// Weight of the newest outcome in the exponential moving averages.
     double smoothing { 0.1 };
-    /// First ejection; doubles with each further one.
+    /// Duration of the first ejection. Doubles with each further ejection, up to
+    /// \c maxEjection.
     Duration baseEjection { std::chrono::seconds(10) };
     Duration maxEjection { std::chrono::minutes(5) };
-    /// Healthy time after which one earlier ejection is forgiven.
+    /// Time without an ejection after which the count of earlier ejections drops
+    /// by one.
     Duration forgiveAfter { std::chrono::minutes(2) };
-    /// At most this share of a peer group is out at once, rounded down.
+    /// Maximum fraction of a peer group that is ejected at once, rounded down to
+    /// whole endpoints.
     double maxEjectedFraction { 0.34 };
-    /// When this share of a group is suspect or out, the fault is likely not
-    /// theirs: none is ejected and all return.
+    /// When this fraction of a group is suspect or ejected, the cause is likely
+    /// outside of the endpoints: none is ejected and all ejections end.
     double panicFraction { 0.6 };
     SlowStartPolicy slowStart;
 };
 
-/// The end of one request at an endpoint.
+/// The outcome of one request at an endpoint.
 struct EndpointOutcome {
     std::string endpoint;
-    /// Endpoints compared with each other, such as those of one model.
+    /// Name of the group of endpoints that are compared with each other, such as
+    /// all endpoints of one model.
     std::string peerGroup;
     std::string incarnation;
     bool failed { false };
     /// A latency that can be compared across requests, such as the mean time
     /// between tokens, or to the first token for each prefilled token.
     std::optional<Duration> latency;
-    /// True where no connection could be made, so that nothing was sent.
+    /// True if no connection could be made, so that nothing was sent.
     bool unreachable { false };
 };
 
-/// Why an endpoint was set aside.
+/// Why an endpoint was ejected.
 enum class EjectionCause { Unreachable,
     ConsecutiveErrors,
     ErrorRate,
     Latency };
 
-/// A change that evaluate made.
+/// A change made by OutlierDetector::evaluate.
 struct EjectionChange {
     std::string endpoint;
-    /// Set where the endpoint was ejected; else it returned.
+    /// Set if the endpoint was ejected; empty if its ejection ended.
     std::optional<EjectionCause> cause;
-    /// When an ejected endpoint returns.
+    /// When the ejection ends.
     TimePoint until {};
 };
 
-/// Finds endpoints that fail or are slow beside their peers, sets them aside for
-/// a growing time and lets them return by slow start.
+/// Detects endpoints that fail or are slow compared with their peers. Ejects them
+/// for a time that grows with each ejection, and then ramps them up by slow start.
 class OutlierDetector {
 public:
     OutlierDetector() = default;
     explicit OutlierDetector(OutlierPolicy policy);
 
-    /// Takes in the outcome of a request. A new incarnation starts afresh.
+    /// Records the outcome of a request. A new incarnation of an endpoint starts
+    /// with no recorded outcomes or ejections.
     void record(const EndpointOutcome& outcome, TimePoint now);
-    /// Makes an endpoint known with no outcome, so that it counts in its group.
+    /// Adds an endpoint that has no outcomes yet, so that it counts as a member of
+    /// its peer group.
     void add(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now);
     void remove(absl::string_view endpoint);
-    /// Ejects and returns endpoints as is due; called about each second and
-    /// after errors.
+    /// Starts and ends ejections and returns the changes. To be called about once
+    /// per second and after errors.
     std::vector<EjectionChange> evaluate(TimePoint now);
 
     bool isEjected(absl::string_view endpoint) const;
-    /// Returns the share of work for \p endpoint: 0 while ejected, then a ramp
-    /// to 1; 1 for an unknown one.
+    /// Returns the weight of \p endpoint in routing: 0 while ejected, then the slow
+    /// start ramp up to 1; 1 for an unknown endpoint.
     double weight(absl::string_view endpoint, TimePoint now) const;
 
 private:
@@ -96,9 +104,10 @@
         std::string peerGroup;
         std::string incarnation;
         unsigned unreachableInARow { 0 };
-        /// Times in a row that it was set aside as unreachable.
+        /// Ejections as unreachable since the last successful connection.
         unsigned unreachableTimes { 0 };
-        /// Ejected as unreachable, which neither cap nor panic concerns.
+        /// True while ejected as unreachable. Neither \c maxEjectedFraction nor
+        /// \c panicFraction applies to such an ejection.
         bool unreachable { false };
         unsigned errorsInARow { 0 };
         unsigned outcomes { 0 };
--- a/include/catkinwing/Routing/Placement.h
+++ b/include/catkinwing/Routing/Placement.h
@@ -10,25 +10,25 @@
 
 namespace catkinwing {
 
-/// What the choice of a place needs to know of a request.
+/// The properties of a request that routing decisions depend on.
 struct RoutingRequest {
     std::string model;
-    /// Adapter to run with; empty for none.
+    /// Adapter to apply to the model; empty for none.
     std::string adapter;
-    /// The stricter of all residencies that apply.
+    /// Intersection of all residencies that apply to the request.
     Residency residency;
-    /// From scopedPrefixHashes.
+    /// Prefix hashes of the prompt, as returned by scopedPrefixHashes.
     std::vector<std::uint64_t> prefixHashes;
     double promptTokens { 0 };
-    /// Endpoints that earlier attempts used, by name.
+    /// Names of the endpoints that earlier attempts used.
     std::vector<std::string> triedEndpoints;
-    /// Times that the request was forwarded.
+    /// Number of times that the request was forwarded.
     unsigned hop { 0 };
-    /// Zones that the request visited before this one.
+    /// Zones that handled the request before this one.
     std::vector<std::string> visitedZones;
-    /// Time until the caller gives up, where it is known.
+    /// Time until the caller's deadline, if known.
     std::optional<Duration> timeLeft;
-    /// Count of this entry's decisions, which round robin goes by.
+    /// Sequence number of this entry's decisions. Only round robin uses it.
     std::uint64_t sequence { 0 };
 };
 
@@ -36,7 +36,7 @@
 struct Placement {
     EndpointHandle endpoint { 0 };
     Duration predictedTimeToFirstToken { 0 };
-    /// Tokens expected to be prefilled; goes into CellView::recordDispatch.
+    /// Tokens expected to be prefilled. To be passed to CellView::recordDispatch.
     double prefillTokens { 0 };
     /// Tokens expected in the prefix cache.
     double cachedTokens { 0 };
@@ -48,38 +48,38 @@
     OutsideResidency,
     /// No endpoint of the cell serves the model.
     UnknownModel,
-    /// Each endpoint of the model is leaving.
+    /// Every endpoint of the model is leaving.
     AllLeaving,
-    /// Each endpoint of the model is leaving or ejected.
+    /// Every endpoint of the model is leaving or ejected.
     AllUnhealthy,
-    /// Each endpoint that takes new work is at its limit for this entry.
+    /// Every live endpoint of the model is at this entry's in-flight limit.
     NoSlot,
-    /// Each endpoint with a free slot was tried before.
+    /// Every endpoint with free capacity was used by an earlier attempt.
     AllTried
 };
 
-/// Says that no endpoint of the cell was chosen.
+/// The result if no endpoint of the cell can be chosen.
 struct NoPlacement {
     NoPlacementReason reason { NoPlacementReason::UnknownModel };
 };
 
 using PlacementResult = std::variant<Placement, NoPlacement>;
 
-/// Chooses the endpoint of \p cell for \p request by the algorithm that
-/// \p policy names. Residency is checked before anything else.
+/// Chooses an endpoint of \p cell for \p request by RoutingPolicy::algorithm.
+/// Checks residency before anything else.
 PlacementResult choosePlacement(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, const RoutingPolicy& policy, Random& random, TimePoint now);
 
-/// Returns why no endpoint of \p cell can take \p request, tried ones aside, or
-/// nothing where one can.
+/// Returns why no endpoint of \p cell can accept \p request, or nothing if one
+/// can. Doesn't consider which endpoints earlier attempts used.
 std::optional<NoPlacementReason> whyNoPlacement(const RoutingRequest& request, const CellView& cell);
 
-/// Returns whether \p request has been sent to the endpoint \p name before.
+/// Returns whether an earlier attempt of \p request used the endpoint \p name.
 bool wasTried(const RoutingRequest& request, absl::string_view name);
 
 /// Returns whether \p endpoint must load the request's adapter first.
 bool needsAdapterLoad(const RoutingRequest& request, const EndpointView& endpoint);
 
-/// Says in one word why, such as "no-slot", for reports.
+/// Returns the name of \p reason as used in reports, such as "no-slot".
 const char* toString(NoPlacementReason reason);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/PlacementExplanation.h
+++ b/include/catkinwing/Routing/PlacementExplanation.h
@@ -4,39 +4,40 @@
 
 namespace catkinwing {
 
-/// Why an endpoint was no candidate.
+/// Why an endpoint is not a candidate.
 enum class ExclusionReason { Leaving,
     Ejected,
     NoSlot,
     AlreadyTried };
 
-/// One endpoint of the model and its place in the decision.
+/// The scoring of one endpoint in a placement decision.
 struct CandidateExplanation {
     std::string endpoint;
-    /// Set where the endpoint was left out; there are no terms then.
+    /// Set if the endpoint is not a candidate; \c terms is unused then.
     std::optional<ExclusionReason> exclusion;
     CostTerms terms;
     double cachedTokens { 0 };
-    /// True where the endpoint is within the margin of the best, so that the
-    /// choice among these is random.
+    /// True if the endpoint counts as equal to the best one. The choice among
+    /// these endpoints is random.
     bool nearBest { false };
 };
 
-/// The scoring of one decision as data.
+/// The scoring of one placement decision.
 struct PlacementExplanation {
-    /// Set where no endpoint can be chosen.
+    /// Set if no endpoint can be chosen.
     std::optional<NoPlacementReason> noPlacement;
     /// Margin within which predictions count as equal.
     Duration margin { 0 };
-    /// The endpoints of the model, best first, those left out last.
+    /// The endpoints of the model, best first, excluded ones last.
     std::vector<CandidateExplanation> candidates;
 };
 
-/// Explains where choosePlacement would send \p request, by the same scoring.
-/// All candidates are scored; in large cells choosePlacement scores a sample.
+/// Explains how choosePlacement scores the endpoints of \p cell for \p request
+/// when it predicts the time to first token. Scores all candidates, whereas
+/// choosePlacement scores only a sample in large cells.
 PlacementExplanation explainPlacement(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, const RoutingPolicy& policy, TimePoint now);
 
-/// Says in one word why, such as "leaving", for reports.
+/// Returns the name of \p reason as used in reports, such as "leaving".
 const char* toString(ExclusionReason reason);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/PrefixIndex.h
+++ b/include/catkinwing/Routing/PrefixIndex.h
@@ -11,81 +11,87 @@
 
 /// Settings of the prefix index.
 struct PrefixIndexPolicy {
-    /// Bound on the memory of the index.
+    /// Maximum memory of the index.
     std::size_t maxBytes { std::size_t { 16 } * 1024 * 1024 };
-    /// Endpoints remembered for one block; the more, the better known are
-    /// prefixes that all share.
+    /// Maximum number of endpoints recorded for one block. A higher limit improves
+    /// the estimates for prefixes that many prompts share.
     std::size_t maxHolders { 64 };
-    /// Tokens that one block of Support/PrefixHash.h stands for.
+    /// Tokens in one block of Support/PrefixHash.h.
     double tokensPerBlock { 64 };
-    /// Belief in a block that an event reported with no gap since.
+    /// Confidence in a block reported by a cache event, with no gap in the
+    /// endpoint's events since.
     double confirmedWeight { 1.0 };
-    /// Belief in a block known only from an own dispatch.
+    /// Confidence in a block known only from a dispatch of this entry.
     double dispatchedWeight { 0.95 };
-    /// Factor on the belief for each gap in the endpoint's events since.
+    /// Factor on the confidence for each later gap in the endpoint's events.
     double gapFactor { 0.8 };
-    /// A belief below this counts as none.
+    /// A confidence below this counts as 0 after a further gap.
     double negligibleWeight { 0.05 };
 };
 
 /// Kind of an endpoint's cache event.
 enum class CacheEventKind { Stored,
     Evicted,
-    /// The endpoint dropped its whole cache.
+    /// The endpoint cleared its whole cache.
     Cleared };
 
-/// A cache event as an endpoint publishes it: late, and at times missing.
+/// A cache event published by an endpoint. Events arrive late, and some are lost.
 struct CacheEvent {
     std::string incarnation;
-    /// One more than that of the event before it, within an incarnation.
+    /// Increases by one with each event of an incarnation.
     std::uint64_t sequence { 0 };
     CacheEventKind kind { CacheEventKind::Stored };
-    /// Scoped hashes (see scopedPrefixHashes) of the blocks concerned.
+    /// Hashes of the affected blocks, as returned by scopedPrefixHashes.
     std::vector<std::uint64_t> hashes;
-    /// Blocks of the prompt before the first hash, where the endpoint tells it.
-    /// Without it, depths that are never looked up are kept too.
+    /// Number of blocks of the prompt before the first hash, if the endpoint
+    /// reports it. If it doesn't, the index also keeps depths that are never
+    /// looked up.
     std::optional<std::size_t> firstBlock;
 };
 
-/// Tokens of a prompt that an endpoint is expected to hold.
+/// The prompt tokens that an endpoint is expected to have cached.
 struct CachedPrefix {
     EndpointHandle endpoint { 0 };
-    /// Weighted by the belief in each block.
+    /// Sum over the cached blocks, each weighted by its confidence.
     double tokens { 0 };
 };
 
-/// Returns the hashes of Support/PrefixHash.h bound to a model and an adapter,
-/// since a cache is of use only to the same weights.
+/// Combines the hashes of Support/PrefixHash.h with a model and an adapter, since
+/// cached blocks are valid only for the same weights.
 std::vector<std::uint64_t> scopedPrefixHashes(absl::Span<const std::uint64_t> hashes, absl::string_view model, absl::string_view adapter);
 
-/// Which endpoint of one cell likely holds which prompt prefix. It is fed by own
-/// dispatches and by cache events, is bounded in memory (least recently used
-/// goes first; of long prompts, only some depths are kept), and is a belief: a wrong entry costs time, never correctness.
-/// It belongs to one cell and is never sent anywhere, so prefix hashes of
-/// resident teams stay within the region.
+/// Estimates which endpoints of one cell have which prompt prefixes cached.
+/// Updated from this entry's dispatches and from the endpoints' cache events.
+/// Memory is bounded: the least recently used blocks are evicted first, and only
+/// some depths of long prompts are kept. A wrong estimate costs latency, but does
+/// not affect correctness. The index is never sent to another process, so prefix
+/// hashes of teams with a residency stay within the region.
 class PrefixIndex {
 public:
     PrefixIndex() = default;
     explicit PrefixIndex(PrefixIndexPolicy policy);
 
-    /// Records that a prompt went to \p endpoint and will likely be cached.
+    /// Records that a prompt was dispatched to \p endpoint, which will likely
+    /// cache it.
     void recordDispatch(EndpointHandle endpoint, absl::Span<const std::uint64_t> hashes);
-    /// Takes in one event. A jump in the sequence makes all that is held of the
-    /// endpoint doubtful; an event seen before is left out, and so is one of the
-    /// incarnation before; one of another incarnation clears first.
+    /// Applies one event. A gap in the sequence numbers lowers the confidence in
+    /// all recorded blocks of the endpoint. Events with an old sequence number or
+    /// of the previous incarnation are ignored. An event of a new incarnation
+    /// first discards the recorded blocks of the endpoint.
     void applyEvent(EndpointHandle endpoint, const CacheEvent& event);
-    /// States the endpoint's incarnation; a change clears what is held of it.
+    /// Sets the endpoint's incarnation. A change discards its recorded blocks.
     void setIncarnation(EndpointHandle endpoint, absl::string_view incarnation);
-    /// Forgets an endpoint, so that its handle may be reused.
+    /// Removes an endpoint, so that its handle may be reused.
     void forget(EndpointHandle endpoint);
 
-    /// Returns each endpoint that holds a beginning of the prompt with the
-    /// tokens expected there, in one pass and in no order.
+    /// Returns each endpoint that is expected to have a prefix of the prompt
+    /// cached, with the expected number of tokens, in unspecified order.
     std::vector<CachedPrefix> cachedTokens(absl::Span<const std::uint64_t> hashes) const;
 
-    /// Returns the number of blocks held.
+    /// Returns the number of recorded blocks.
     std::size_t size() const { return m_nodeOf.size(); }
-    /// Returns the bytes in use, heap blocks and table included.
+    /// Returns the allocated bytes, including the hash table and the heap storage
+    /// of the holder lists.
     std::size_t memoryBytes() const;
 
 private:
@@ -93,10 +99,12 @@
     static constexpr NodeIndex noNode = UINT32_MAX;
     static constexpr std::size_t inlineHolders = 2;
 
-    /// One endpoint's hold on a block. Its epoch says since when.
+    /// An endpoint that is expected to have a block cached.
     struct Holder {
         std::uint16_t endpoint;
+        /// True if a cache event reported the block.
         bool confirmed;
+        /// Epoch of the endpoint's event stream when the block was last recorded.
         std::uint32_t epoch;
     };
     struct Node {
@@ -105,18 +113,19 @@
         NodeIndex older;
         absl::InlinedVector<Holder, inlineHolders> holders;
     };
-    /// Events of an endpoint. The epoch grows with each gap and each clearing.
+    /// State of an endpoint's event stream. The epoch increases with each gap in
+    /// the sequence numbers and whenever the recorded blocks are discarded.
     struct Source {
         std::string incarnation;
         std::string previousIncarnation;
         std::uint64_t lastSequence { 0 };
         bool sequenceKnown { false };
         std::uint32_t epoch { 0 };
-        /// Holds from before this epoch are gone.
+        /// Blocks recorded in an earlier epoch are invalid.
         std::uint32_t validFrom { 0 };
     };
 
-    /// Bytes of the table for one entry at its emptiest, after growing.
+    /// Hash table bytes per element at the lowest load factor, just after growing.
     static constexpr std::size_t tableBytesPerEntry = 40;
     static constexpr std::size_t nodesPerChunk = 1024;
 
@@ -140,9 +149,10 @@
 
     PrefixIndexPolicy m_policy;
     std::vector<std::unique_ptr<Node[]>> m_chunks;
-    /// First of the unused nodes, which are linked by their older link.
+    /// Head of the free list, which is linked by Node::older.
     NodeIndex m_firstFree { noNode };
     std::size_t m_nodesMade { 0 };
+    /// Heap bytes of the holder lists that don't fit inline.
     std::size_t m_overflowBytes { 0 };
     NodeIndex m_newest { noNode };
     NodeIndex m_oldest { noNode };
--- a/include/catkinwing/Routing/ResidencyFilter.h
+++ b/include/catkinwing/Routing/ResidencyFilter.h
@@ -6,17 +6,17 @@
 
 namespace catkinwing {
 
-/// Regions in which a team's data may be processed. The default allows none, so
-/// that a team whose document is missing is refused and not let through.
+/// Regions in which a team's data may be processed. The default allows no region,
+/// so that requests of a team whose document is missing are refused.
 struct Residency {
-    /// True where the data may go to any region; \c regions is then empty.
+    /// True if every region is allowed; \c regions is then empty.
     bool anywhere { false };
-    /// Names of the allowed regions, sorted, each once.
+    /// Names of the allowed regions, sorted and without duplicates.
     std::vector<std::string> regions;
 
     /// Allows every region.
     static Residency unrestricted();
-    /// Allows only \p regions, in any order.
+    /// Allows only \p regions, which may be unsorted.
     static Residency within(std::vector<std::string> regions);
 
     friend bool operator==(const Residency& a, const Residency& b) { return a.anywhere == b.anywhere && a.regions == b.regions; }
@@ -27,7 +27,7 @@
 /// of a forward.
 bool isAllowed(const Residency& residency, absl::string_view region);
 
-/// Returns what both \p a and \p b allow; with nothing in common, nowhere.
+/// Returns the regions that both \p a and \p b allow, possibly none.
 Residency stricterOf(const Residency& a, const Residency& b);
 
 /// Returns whether \p residency allows no region at all.
--- a/include/catkinwing/Routing/RoutingPolicy.h
+++ b/include/catkinwing/Routing/RoutingPolicy.h
@@ -5,43 +5,49 @@
 
 namespace catkinwing {
 
-/// How an endpoint is chosen. All but the first are baselines, kept to measure
-/// the first against.
+/// How an endpoint is chosen. All but the first are baselines to measure the
+/// first against.
 enum class RoutingAlgorithm {
-    /// Least predicted time to first token.
+    /// Shortest predicted time to first token.
     PredictedTimeToFirstToken,
-    /// Each in turn.
+    /// Endpoints in turn.
     RoundRobin,
-    /// The fewest own requests in flight.
+    /// Fewest requests of this entry in flight.
     LeastInFlight,
-    /// The less loaded of two endpoints drawn at random.
+    /// The one of two random endpoints with fewer requests of this entry in flight.
     PowerOfTwoChoices
 };
 
-/// Settings of the choice of endpoint.
+/// Settings of the choice of an endpoint.
 struct RoutingPolicy {
     RoutingAlgorithm algorithm { RoutingAlgorithm::PredictedTimeToFirstToken };
-    /// Endpoints within this part of the best prediction count as equal.
+    /// Endpoints whose prediction exceeds the best one by at most this fraction of
+    /// it count as equal.
     double nearBestFraction { 0.2 };
-    /// An endpoint with more tokens than this left to prefill beyond those of
-    /// the best doesn't count as equal.
+    /// An endpoint that has to prefill more than this many tokens more than the
+    /// best one doesn't count as equal.
     double nearBestTokens { 64 };
-    /// Endpoints within this time of the best prediction count as equal.
+    /// Minimum margin: endpoints whose prediction exceeds the best one by at most
+    /// this time count as equal.
     Duration nearBestFloor { std::chrono::milliseconds(5) };
-    /// Added to the margin for each unit of age of the report of the best, since
-    /// others may have sent it work meanwhile.
+    /// Added to the margin per unit of age of the best endpoint's load report,
+    /// since other entries may have sent requests to the endpoint in the meantime.
     double nearBestPerReportAge { 0.02 };
-    /// A report older than this is left out; own requests are all that counts.
+    /// Older load reports are not used to estimate the requests in flight; only
+    /// this entry's requests count then.
     Duration maxReportAge { std::chrono::seconds(10) };
-    /// Up to this many open endpoints are all scored; beyond it, a sample.
+    /// Maximum number of open endpoints for which all are scored. If there are
+    /// more, a sample is scored.
     std::size_t scoreAllUpTo { 32 };
-    /// Endpoints in a sample that hold most of the prefix.
+    /// Maximum number of endpoints in a sample that are selected for having the
+    /// longest cached prefixes.
     std::size_t sampledHolders { 16 };
-    /// Endpoints in a sample that are drawn at random.
+    /// Number of random draws for a sample.
     std::size_t sampledOthers { 16 };
-    /// How much slower prefill is when the batch is full: 0.5 means half more.
+    /// Relative increase of the prefill time when the batch is full: 0.5 means
+    /// 50 % longer.
     double batchSlowdown { 0.5 };
-    /// Time to load an adapter where it is not loaded.
+    /// Time to load an adapter that is not loaded yet.
     Duration adapterLoadTime { std::chrono::milliseconds(500) };
 };
 
--- a/lib/Routing/BaselinePlacement.cpp
+++ b/lib/Routing/BaselinePlacement.cpp
@@ -4,7 +4,7 @@
 
 namespace catkinwing {
 
-/// An endpoint whose model is known but that is not free or was tried.
+/// The result if every open endpoint was used by an earlier attempt.
 static NoPlacement noneLeft()
 {
     return { NoPlacementReason::AllTried };
--- a/lib/Routing/CellView.cpp
+++ b/lib/Routing/CellView.cpp
@@ -12,7 +12,7 @@
 {
 }
 
-/// A name given twice would stand twice in the index.
+/// Sorts \p names and removes duplicates, which would be indexed twice.
 static void dropRepeats(std::vector<std::string>& names)
 {
     std::sort(names.begin(), names.end());
@@ -69,11 +69,11 @@
 
 void CellView::modify(EndpointHandle handle, absl::FunctionRef<void(EndpointView&)> change)
 {
-    assert(contains(handle) && "only an endpoint of the cell can be altered");
+    assert(contains(handle) && "handle does not refer to an endpoint of the cell");
     EndpointView changed = m_slots[handle].view;
     change(changed);
     dropRepeats(changed);
-    assert(changed.name == m_slots[handle].view.name && "an endpoint keeps its name");
+    assert(changed.name == m_slots[handle].view.name && "the name of an endpoint must not change");
     EndpointView& view = m_slots[handle].view;
     if (changed.models == view.models && changed.adapters == view.adapters) {
         view = std::move(changed);
@@ -224,8 +224,7 @@
         const std::string& model = slot.view.models[i];
         std::vector<EndpointHandle>& open = m_byModel[model].open;
         std::uint32_t position = slot.openPositions[i];
-        // The last one takes the place, so that leaving costs the same however
-        // many are open.
+        // Moves the last element here, so that the removal takes constant time.
         EndpointHandle last = open.back();
         open[position] = last;
         open.pop_back();
--- a/lib/Routing/CostModel.cpp
+++ b/lib/Routing/CostModel.cpp
@@ -20,8 +20,8 @@
 static double believedBacklog(const EndpointView& endpoint, TimePoint now)
 {
     double drained = remainingTokens(endpoint.backlog, endpoint.prefillTokensPerSecond, now);
-    // Own requests without a first token are there for certain, even where the
-    // engine drains more slowly than believed.
+    // The backlog includes at least this entry's requests without a first token,
+    // even if the engine prefills more slowly than estimated.
     return std::max(drained, endpoint.ownPendingPrefillTokens);
 }
 
--- a/lib/Routing/Forwarding.cpp
+++ b/lib/Routing/Forwarding.cpp
@@ -8,7 +8,7 @@
 
 namespace catkinwing {
 
-/// Cells whose predictions differ by less than this count as equal.
+/// Cells whose predictions exceed the best one by at most this count as equal.
 static constexpr Duration equalWithin = std::chrono::milliseconds(5);
 
 static bool hasVisited(const RoutingRequest& request, absl::string_view zone)
@@ -34,8 +34,8 @@
     return known == cell.models.end() ? nullptr : &known->second;
 }
 
-// What this cell can't serve at all is better served from cold caches than
-// refused, so slow start doesn't hold it back.
+// Disables slow start for requests that this cell can't serve: a cell with cold
+// caches is better than a refusal.
 static ForwardPolicy allowancePolicy(const ForwardInputs& inputs)
 {
     ForwardPolicy policy = inputs.policy;
@@ -59,8 +59,9 @@
 static Duration predictRemote(const ForwardInputs& inputs, const RemoteCellView& cell)
 {
     const RemoteModelView& model = *findModel(cell, inputs.request.model);
-    // Prefix indexes don't leave their cell: the whole prompt counts as not
-    // cached there, and each own forward since as prefill that goes first.
+    // The prefix indexes of other cells are unknown, so the whole prompt counts
+    // as uncached. Each unfinished forward since the digest is assumed to prefill
+    // as many tokens ahead of this request.
     double prefills = 1.0 + model.forwardsSinceDigest;
     Duration prefill = fromSeconds(prefills * inputs.request.promptTokens / std::max(model.prefillTokensPerSecond, 1.0));
     return cell.roundTripTime + model.predictedWait + prefill;
@@ -71,10 +72,10 @@
     return inputs.request.timeLeft && prediction > *inputs.request.timeLeft;
 }
 
-/// The gain that a forward of this kind must bring.
+/// Returns the gain that a forward to another zone or region must exceed.
 static Duration thresholdFor(const ForwardInputs& inputs, const ForwardState& state, bool otherRegion)
 {
-    // A request that would be late here goes wherever it isn't.
+    // If the request would miss its deadline here, any gain is enough.
     if (inputs.localPrediction && isLate(inputs, *inputs.localPrediction))
         return Duration::zero();
     const ForwardPolicy& policy = inputs.policy;
@@ -87,7 +88,8 @@
 
 namespace {
 
-    /// The cells of one kind that could receive the request.
+    /// The cells that can receive the request, all in this region or all in other
+    /// regions, and the shortest prediction among them.
     struct Receivers {
         std::vector<Forward> forwards;
         Duration best { Duration::max() };
@@ -122,7 +124,8 @@
     return *near[random.below(near.size())];
 }
 
-/// Returns the forward of one kind where it is worth its cost.
+/// Returns the forward to one of \p receivers if its gain exceeds the threshold,
+/// and updates the hysteresis flag.
 static std::optional<Forward> chooseReceiver(const Receivers& receivers, const ForwardInputs& inputs, ForwardState& state, bool otherRegion, Random& random)
 {
     bool& sending = otherRegion ? state.sendingToRegions : state.sendingToZones;
--- a/lib/Routing/Hedging.cpp
+++ b/lib/Routing/Hedging.cpp
@@ -6,7 +6,7 @@
 
 namespace catkinwing {
 
-/// Lower edge of the first bucket, and the ratio of one edge to the one before.
+/// Lower edge of the first bucket, and the ratio of successive edges.
 static constexpr double firstEdgeSeconds = 0.0005;
 static constexpr double edgeRatio = 1.15;
 
--- a/lib/Routing/OutlierDetector.cpp
+++ b/lib/Routing/OutlierDetector.cpp
@@ -39,7 +39,7 @@
 void OutlierDetector::record(const EndpointOutcome& outcome, TimePoint now)
 {
     Entry& known = entry(outcome.endpoint, outcome.peerGroup, outcome.incarnation, now);
-    // Late outcomes of requests from before the ejection say nothing new.
+    // These are late outcomes of requests sent before the ejection.
     if (known.ejected)
         return;
     known.unreachableInARow = outcome.unreachable ? known.unreachableInARow + 1 : 0;
@@ -124,7 +124,7 @@
         return;
     }
     auto mostOut = static_cast<std::size_t>(std::floor(m_policy.maxEjectedFraction * size));
-    // The worst go first where not all may go.
+    // The cap may not allow all ejections, so the worst suspects come first.
     std::stable_sort(suspects.begin(), suspects.end(), [](const auto& a, const auto& b) { return a.second->errorsInARow > b.second->errorsInARow; });
     for (auto& [endpoint, known] : suspects) {
         if (out >= mostOut)
@@ -136,10 +136,11 @@
     }
 }
 
-// Cap and panic keep capacity that may still serve. An address that refuses
-// connections serves nobody, and as long as it is in use it draws requests away
-// from cells that could serve them. What is set aside here is then no peer of
-// the others.
+// The ejection cap and the panic threshold preserve capacity that may still
+// serve requests, so they don't apply here: an address that refuses connections
+// serves none, and while it is in use it attracts requests that other cells could
+// serve. The ejected endpoints are removed from the group, so that they don't
+// count as peers of the others.
 void OutlierDetector::ejectUnreachable(Group& group, TimePoint now, std::vector<EjectionChange>& changes) const
 {
     for (auto& [endpoint, known] : group) {
@@ -170,13 +171,13 @@
 
 void OutlierDetector::comeBack(Entry& entry, TimePoint now) const
 {
-    // One more refused connection sets an unreachable endpoint aside again.
+    // One more failed connection ejects an unreachable endpoint again.
     entry.unreachableInARow = entry.unreachable ? m_policy.consecutiveUnreachable - 1 : 0;
     entry.unreachable = false;
     entry.ejected = false;
     entry.returnedAt = now;
     entry.healthySince = now;
-    // What was seen before the ejection must not eject it again.
+    // Outcomes from before the ejection must not cause another one.
     entry.errorsInARow = 0;
     entry.outcomes = 0;
     entry.errorRate = 0;
--- a/lib/Routing/Placement.cpp
+++ b/lib/Routing/Placement.cpp
@@ -13,15 +13,15 @@
         double cachedTokens;
     };
 
-    /// One decision under way.
+    /// The state of one placement decision.
     struct Scoring {
         const RoutingRequest& request;
         const CellView& cell;
         const RoutingPolicy& policy;
         TimePoint now;
-        /// Tokens cached at each endpoint, by handle.
+        /// Expected cached tokens at each endpoint, by handle.
         std::vector<float> cached;
-        /// Endpoints that were looked at, by handle.
+        /// True for endpoints that were already considered, by handle.
         std::vector<bool> seen;
         std::vector<Candidate> candidates;
     };
@@ -88,7 +88,7 @@
     scoreDrawn(scoring, open, random);
     if (!scoring.request.adapter.empty())
         scoreDrawn(scoring, scoring.cell.endpointsWithAdapter(scoring.request.adapter), random);
-    // A sample may hold only endpoints that were tried.
+    // The sample may consist only of endpoints that earlier attempts used.
     if (scoring.candidates.empty())
         scoreAll(scoring, open);
 }
@@ -98,7 +98,7 @@
     auto less = [](const Candidate& a, const Candidate& b) { return a.terms.total < b.terms.total; };
     auto best = std::min_element(scoring.candidates.begin(), scoring.candidates.end(), less);
     Duration margin = nearBestMargin(best->terms.total, scoring.cell.endpoint(best->endpoint), scoring.policy, scoring.now);
-    // Reservoir sampling: each near-best candidate is as likely as any other.
+    // Reservoir sampling: all near-best candidates are equally likely.
     const Candidate* chosen = &*best;
     std::uint64_t near = 0;
     for (const Candidate& candidate : scoring.candidates) {
--- a/lib/Routing/PrefixIndex.cpp
+++ b/lib/Routing/PrefixIndex.cpp
@@ -17,8 +17,8 @@
     return scoped;
 }
 
-/// Depths, in blocks, that the index keeps: all of the first ones and then eight
-/// to each doubling, so that a depth is known to within an eighth.
+/// Number of depths (in blocks) that the index keeps per doubling of the depth.
+/// The first depths are all kept. A cached depth is known to within an eighth.
 static constexpr std::size_t depthsPerDoubling = 8;
 
 static std::size_t stepAt(std::size_t depth)
@@ -34,8 +34,8 @@
     return depth + stepAt(depth);
 }
 
-/// Returns the hashes at the depths that the index keeps, where the first stands
-/// after \p blocksBefore others.
+/// Returns the hashes at the depths that the index keeps. \p blocksBefore is the
+/// number of blocks of the prompt before the first hash.
 static std::vector<std::uint64_t> keptHashes(absl::Span<const std::uint64_t> hashes, std::size_t blocksBefore)
 {
     std::vector<std::uint64_t> kept;
@@ -79,7 +79,7 @@
 bool PrefixIndex::isNewEvent(Source& source, const CacheEvent& event)
 {
     if (event.incarnation != source.incarnation) {
-        // Events are late: those of the process before may still come.
+        // Late events of the previous incarnation may still arrive.
         if (event.incarnation == source.previousIncarnation)
             return false;
         source.previousIncarnation = std::exchange(source.incarnation, event.incarnation);
@@ -124,7 +124,7 @@
     std::vector<Reach> reached(m_sources.size(), Reach { 0, 0 });
     for (std::size_t depth = 1; depth <= hashes.size(); depth = nextDepth(depth)) {
         auto known = m_nodeOf.find(hashes[depth - 1]);
-        // Shorter prefixes are kept longer, so nothing deeper is known either.
+        // Shorter prefixes are evicted last, so no deeper one is recorded either.
         if (known == m_nodeOf.end())
             break;
         for (const Holder& holder : node(known->second).holders) {
@@ -134,8 +134,8 @@
             Reach& reach = reached[holder.endpoint];
             if (reach.depth == 0)
                 found.push_back({ holder.endpoint, 0 });
-            // An endpoint that holds this block holds those before it, whether
-            // or not it is among the holders remembered for them.
+            // An endpoint that has this block cached also has all blocks before
+            // it, even if it is not among their recorded holders.
             reach.blocks += static_cast<float>(weight * static_cast<double>(depth - reach.depth));
             reach.depth = static_cast<std::uint32_t>(depth);
         }
@@ -156,7 +156,7 @@
 
 std::size_t PrefixIndex::liveBytes() const
 {
-    // One chunk more than its nodes, since chunks are allocated whole.
+    // Adds one chunk to the nodes in use, since chunks are allocated whole.
     std::size_t fixed = nodesPerChunk * sizeof(Node) + m_sources.capacity() * sizeof(Source);
     return fixed + m_nodeOf.size() * (sizeof(Node) + tableBytesPerEntry) + m_overflowBytes;
 }
@@ -173,7 +173,7 @@
 
 PrefixIndex::Source& PrefixIndex::source(EndpointHandle endpoint)
 {
-    assert(endpoint <= std::numeric_limits<std::uint16_t>::max() && "a cell has fewer endpoints than that");
+    assert(endpoint <= std::numeric_limits<std::uint16_t>::max() && "endpoint handle does not fit into Holder::endpoint");
     if (endpoint >= m_sources.size())
         m_sources.resize(endpoint + 1);
     return m_sources[endpoint];
@@ -198,8 +198,8 @@
 
 void PrefixIndex::storeChain(EndpointHandle endpoint, absl::Span<const std::uint64_t> hashes, bool confirmed)
 {
-    // Deepest first, so that a prefix is always more recent than what builds on
-    // it and the bound drops the ends of chains.
+    // Stores the deepest block first, so that a prefix is always more recent than
+    // its extensions and eviction removes the ends of chains first.
     for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash)
         store(endpoint, *hash, confirmed);
     keepWithinBound();
--- a/lib/Routing/ResidencyFilter.cpp
+++ b/lib/Routing/ResidencyFilter.cpp
@@ -35,8 +35,8 @@
         return b;
     if (b.anywhere)
         return a;
-    // Not set_intersection: a residency filled by hand may be unsorted, and a
-    // wrong answer here would be a breach.
+    // std::set_intersection needs sorted input, but a residency that was not made
+    // by within() may be unsorted, and a wrong result would violate residency.
     std::vector<std::string> common;
     std::copy_if(a.regions.begin(), a.regions.end(), std::back_inserter(common), [&b](const std::string& region) { return isAllowed(b, region); });
     return Residency::within(std::move(common));
--- a/lib/Routing/Seconds.h
+++ b/lib/Routing/Seconds.h
@@ -4,13 +4,13 @@
 
 namespace catkinwing {
 
-/// Returns \p span as a number of seconds, for arithmetic within this package.
+/// Converts \p span to a number of seconds.
 inline double toSeconds(Duration span)
 {
     return std::chrono::duration<double>(span).count();
 }
 
-/// Returns \p seconds as a span of time.
+/// Converts a number of seconds to a Duration.
 inline Duration fromSeconds(double seconds)
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
--- a/unittests/Routing/CellViewTest.cpp
+++ b/unittests/Routing/CellViewTest.cpp
@@ -16,7 +16,7 @@
     return endpoint;
 }
 
-TEST_CASE("an endpoint leaves the open list at its limit and comes back")
+TEST_CASE("an endpoint is removed from the open list at its limit and added again below it")
 {
     CellView cell("caldas", "caldas-1");
     EndpointHandle handle = cell.upsert(makeEndpoint("e1", { "m", "m", "n" }));
@@ -30,7 +30,7 @@
     CHECK(cell.openEndpointsFor("n").size() == 1);
 }
 
-TEST_CASE("a removed endpoint is in no list and its handle is reused")
+TEST_CASE("a removed endpoint is in no list, and its handle is reused")
 {
     CellView cell("caldas", "caldas-1");
     EndpointHandle handle = cell.upsert(makeEndpoint("e1", { "m" }));
@@ -60,7 +60,7 @@
     });
 }
 
-TEST_CASE("after any changes the open lists hold just the open endpoints")
+TEST_CASE("after random changes the open lists contain exactly the open endpoints")
 {
     constexpr std::uint64_t seed = 20261;
     CAPTURE(seed);
--- a/unittests/Routing/ForwardingTest.cpp
+++ b/unittests/Routing/ForwardingTest.cpp
@@ -19,7 +19,7 @@
     return cell;
 }
 
-/// An entry of the zone caldas-1 and what it decides on.
+/// An entry of the zone caldas-1 and the inputs of its decisions.
 struct Origin {
     RoutingRequest request;
     ForwardPolicy policy;
@@ -48,7 +48,7 @@
     }
 };
 
-TEST_CASE("another zone of the region goes before another region")
+TEST_CASE("another zone of the region is preferred to another region")
 {
     Origin origin;
     CHECK(origin.target(5s) == "caldas-2");
@@ -58,7 +58,7 @@
     CHECK(origin.target(std::nullopt) == "caldas-2");
 }
 
-TEST_CASE("cells that drain, don't answer, are full or lack the model get nothing")
+TEST_CASE("nothing is forwarded to cells that are draining, unreachable, full, lack the model or have an old digest")
 {
     Origin origin;
     origin.cells.resize(1);
@@ -79,7 +79,7 @@
     CHECK(origin.target(5s) == "no-candidate");
 }
 
-TEST_CASE("forwarding starts at the threshold and stops below a part of it")
+TEST_CASE("forwarding starts at the threshold and stops below a fraction of it")
 {
     Origin origin;
     origin.cells.erase(origin.cells.begin());
@@ -90,7 +90,7 @@
     CHECK(origin.target(450ms) == "gain-too-small");
 }
 
-TEST_CASE("the share already sent away raises the threshold for regions only")
+TEST_CASE("the share forwarded to other regions raises the threshold for regions only")
 {
     Origin origin;
     for (int i = 0; i < 10; ++i)
@@ -105,7 +105,7 @@
     CHECK(origin.target(800ms) == "valle-1");
 }
 
-TEST_CASE("a request that would be late here goes where it won't be")
+TEST_CASE("a request that would miss its deadline here is forwarded to a cell that can meet it")
 {
     Origin origin;
     origin.cells.erase(origin.cells.begin());
@@ -115,7 +115,7 @@
     CHECK(origin.target(350ms) == "no-candidate");
 }
 
-TEST_CASE("one digest is good for no more than this entry's part of the free slots")
+TEST_CASE("forwards based on one digest are limited to this entry's share of the free slots")
 {
     Origin origin;
     origin.policy.senders = 5;
@@ -128,7 +128,7 @@
     CHECK(sent == 2);
 }
 
-TEST_CASE("a forward that ended frees its slot, unless a newer digest counts it")
+TEST_CASE("a forward that ended frees its slot, unless a newer digest accounts for it")
 {
     Origin origin;
     origin.cells.resize(1);
@@ -147,7 +147,7 @@
     CHECK(origin.cells[0].models["m"].forwardsSinceDigest == 1);
 }
 
-TEST_CASE("senders that share a digest use its last slots once between them")
+TEST_CASE("entries that share a digest divide its free slots among them")
 {
     Random random(77);
     ForwardPolicy policy;
@@ -162,7 +162,7 @@
     CHECK(total <= 20);
 }
 
-TEST_CASE("a cell that came back takes its part little by little")
+TEST_CASE("the allowance of a cell that is reachable again grows over the slow start")
 {
     ForwardPolicy policy;
     RemoteCellView cell = makeRemote("valle", "valle-1", 0ms);
@@ -177,7 +177,7 @@
     CHECK(before == 10);
 }
 
-TEST_CASE("what this cell can't serve goes to one that has just come back")
+TEST_CASE("slow start doesn't prevent the forward of a request that this cell can't serve")
 {
     Origin origin;
     origin.cells = { makeRemote("valle", "valle-1", 0ms) };
@@ -187,7 +187,7 @@
     CHECK(origin.target(std::nullopt) == "valle-1");
 }
 
-TEST_CASE("whatever the views, a forward keeps to hop limit, visited zones and residency")
+TEST_CASE("forwards respect hop limit, visited zones and residency for random views")
 {
     constexpr std::uint64_t seed = 31337;
     CAPTURE(seed);
@@ -226,7 +226,7 @@
     CHECK(forwards > 500);
 }
 
-TEST_CASE("a receiver refuses what should not have come")
+TEST_CASE("a receiver refuses a forward that violates residency, hop limit or visited zones")
 {
     RoutingRequest request;
     request.hop = 1;
@@ -239,7 +239,7 @@
     CHECK(checkReceivedForward(request, "valle-1", "valle") == ForwardRefusal::HopLimit);
 }
 
-TEST_CASE("a session keeps to one receiving entry while it takes work")
+TEST_CASE("a session is forwarded to the same entry while that entry accepts work")
 {
     Random random(5);
     std::vector<ForwardEntry> entries { { "a" }, { "b" }, { "c" } };
--- a/unittests/Routing/HedgingTest.cpp
+++ b/unittests/Routing/HedgingTest.cpp
@@ -16,7 +16,7 @@
     return inputs;
 }
 
-TEST_CASE("a hedge needs every one of its conditions")
+TEST_CASE("a hedge requires all of its conditions")
 {
     HedgePolicy policy;
     CHECK(shouldHedge(ripeInputs(), policy) == HedgeDecision::Hedge);
@@ -37,7 +37,7 @@
     CHECK(shouldHedge(ripeInputs(), policy) == HedgeDecision::Disabled);
 }
 
-TEST_CASE("quantiles are learned to within a fifth and follow a change")
+TEST_CASE("quantiles are accurate to within a fifth and follow a change of the latency")
 {
     LatencyQuantiles quantiles;
     for (int i = 0; i < 49; ++i)
--- a/unittests/Routing/OutlierDetectorTest.cpp
+++ b/unittests/Routing/OutlierDetectorTest.cpp
@@ -35,7 +35,7 @@
     return count;
 }
 
-TEST_CASE("errors in a row eject, and the endpoint returns by slow start")
+TEST_CASE("consecutive errors eject an endpoint, and slow start follows the ejection")
 {
     OutlierDetector detector = makeDetector(6);
     recordMany(detector, 2, 4, true);
@@ -55,7 +55,7 @@
     CHECK(detector.weight("unknown", start) == 1);
 }
 
-TEST_CASE("endpoints that refuse connections are set aside even where none is left")
+TEST_CASE("endpoints that refuse connections are ejected even if none remains")
 {
     OutlierDetector detector = makeDetector(2);
     auto refuse = [&](int endpoint, TimePoint now) { detector.record({ nameOf(endpoint), "m", "a", true, std::nullopt, true }, now); };
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("unreachable endpoints are no peers of the others")
+TEST_CASE("unreachable endpoints don't count as peers of the others")
 {
     OutlierDetector detector = makeDetector(6);
     for (int endpoint : { 0, 1, 2, 3 }) {
@@ -103,7 +103,7 @@
     CHECK_FALSE(detector.isEjected("e5"));
 }
 
-TEST_CASE("each further ejection lasts longer, up to a bound, and health forgives")
+TEST_CASE("ejections double up to a maximum, and healthy time reduces them again")
 {
     OutlierDetector detector = makeDetector(6);
     TimePoint now = start;
@@ -126,7 +126,7 @@
     CHECK(detector.evaluate(now)[0].until == now + 10s);
 }
 
-TEST_CASE("a share of errors and a latency beside the peers' median eject too")
+TEST_CASE("a high error rate and a latency far above the peers' median eject an endpoint")
 {
     OutlierDetector detector = makeDetector(8);
     for (int i = 0; i < 8; ++i)
@@ -141,7 +141,7 @@
     CHECK(changes[1].cause == EjectionCause::Latency);
 }
 
-TEST_CASE("a new incarnation starts afresh")
+TEST_CASE("a new incarnation is not ejected")
 {
     OutlierDetector detector = makeDetector(6);
     recordMany(detector, 1, 5, true);
@@ -151,7 +151,7 @@
     CHECK_FALSE(detector.isEjected("e1"));
 }
 
-TEST_CASE("when most look bad none is out")
+TEST_CASE("no endpoint is ejected if most of the group are suspect")
 {
     OutlierDetector detector = makeDetector(10);
     recordMany(detector, 0, 5, true);
@@ -163,7 +163,7 @@
     CHECK(countEjected(detector, 10) == 0);
 }
 
-TEST_CASE("whatever fails, no more than the stated part is out")
+TEST_CASE("no more than the maximum fraction of a group is ejected under random failures")
 {
     constexpr std::uint64_t seed = 808;
     CAPTURE(seed);
--- a/unittests/Routing/PlacementTest.cpp
+++ b/unittests/Routing/PlacementTest.cpp
@@ -43,7 +43,7 @@
     return std::get<NoPlacement>(result).reason;
 }
 
-/// Chooses with the defaults and returns the endpoint's number.
+/// Requires that an endpoint is chosen at \c start, and returns its handle.
 static EndpointHandle chosen(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, Random& random, const RoutingPolicy& policy = {})
 {
     PlacementResult result = choosePlacement(request, cell, prefixes, policy, random, start);
@@ -54,7 +54,7 @@
 static const RoutingAlgorithm allAlgorithms[] = { RoutingAlgorithm::PredictedTimeToFirstToken, RoutingAlgorithm::RoundRobin,
     RoutingAlgorithm::LeastInFlight, RoutingAlgorithm::PowerOfTwoChoices };
 
-TEST_CASE("the endpoint that holds the prompt is chosen until its queue outweighs it")
+TEST_CASE("the endpoint that has the prompt cached is chosen until its queue costs more than the hit saves")
 {
     Random random(1);
     CellView cell = makeCell(5);
@@ -69,7 +69,7 @@
     CHECK(chosen(request, cell, prefixes, random) != 2);
 }
 
-TEST_CASE("own dispatches after a report count before the next one")
+TEST_CASE("own dispatches after a load report count before the next report")
 {
     Random random(2);
     CellView cell = makeCell(2);
@@ -80,7 +80,7 @@
     CHECK(chosen(makeRequest(), cell, {}, random) == 1);
 }
 
-TEST_CASE("an adapter that is loaded attracts, and slow start repels")
+TEST_CASE("endpoints with the adapter loaded are preferred, and those in slow start avoided")
 {
     Random random(3);
     CellView cell = makeCell(4);
@@ -94,7 +94,7 @@
         CHECK(chosen(request, cell, {}, random) != 2);
 }
 
-TEST_CASE("each reason to place nowhere is told apart")
+TEST_CASE("each reason for no placement is reported")
 {
     Random random(4);
     CellView cell = makeCell(2);
@@ -116,7 +116,7 @@
     CHECK(reasonOf(place(request)) == NoPlacementReason::OutsideResidency);
 }
 
-TEST_CASE("no algorithm ever places outside the residency or at a closed endpoint")
+TEST_CASE("no algorithm chooses an endpoint that is outside the residency, not open or already tried")
 {
     constexpr std::uint64_t seed = 4711;
     CAPTURE(seed);
@@ -151,7 +151,7 @@
     }
 }
 
-TEST_CASE("entries with the same old view don't all pick one endpoint")
+TEST_CASE("entries with the same outdated view choose different endpoints")
 {
     constexpr std::uint64_t seed = 99;
     CAPTURE(seed);
@@ -167,7 +167,7 @@
         CHECK(count <= 6);
 }
 
-TEST_CASE("the choice among equal endpoints reaches each of them, in a sample too")
+TEST_CASE("the choice among equal endpoints reaches all of them, also by sampling")
 {
     Random random(5);
     CellView cell = makeCell(100);
@@ -177,7 +177,7 @@
     CHECK(seen.size() == 100);
 }
 
-TEST_CASE("a sample always includes the endpoint that holds the prompt")
+TEST_CASE("a sample always includes the endpoint that has the prompt cached")
 {
     Random random(6);
     CellView cell = makeCell(500);
@@ -189,7 +189,7 @@
         CHECK(chosen(request, cell, prefixes, random) == 321);
 }
 
-TEST_CASE("round robin takes each in turn and steps over the closed")
+TEST_CASE("round robin chooses the endpoints in turn and skips closed ones")
 {
     Random random(7);
     CellView cell = makeCell(3);
@@ -205,7 +205,7 @@
     CHECK(order == std::vector<EndpointHandle> { 0, 2, 2, 0, 2, 2 });
 }
 
-TEST_CASE("least in flight takes the least, and two choices rarely the most")
+TEST_CASE("least in flight chooses the least loaded endpoint, and power of two choices never the most loaded")
 {
     Random random(8);
     CellView cell = makeCell(10);
@@ -222,7 +222,7 @@
     CHECK(picks[9] > 300);
 }
 
-TEST_CASE("the explanation names the choice, the terms and the exclusions")
+TEST_CASE("the explanation contains the choice, the cost terms and the exclusions")
 {
     CellView cell = makeCell(4);
     cell.recordReport(1, { start, 4, 0, 5000 });
@@ -242,7 +242,7 @@
     CHECK(std::get<Placement>(result).predictedTimeToFirstToken == explanation.candidates[0].terms.total);
 }
 
-TEST_CASE("the explanation of a request from outside shows no endpoint")
+TEST_CASE("the explanation of a request that residency forbids lists no endpoint")
 {
     RoutingRequest request = makeRequest();
     request.residency = Residency();
--- a/unittests/Routing/PrefixIndexTest.cpp
+++ b/unittests/Routing/PrefixIndexTest.cpp
@@ -29,7 +29,7 @@
     return { "a", sequence, CacheEventKind::Stored, std::move(hashes), std::nullopt };
 }
 
-/// Ten tokens a block, and weights that are easy to tell apart.
+/// Returns a policy with ten tokens per block and clearly distinct weights.
 static PrefixIndexPolicy testPolicy()
 {
     PrefixIndexPolicy policy;
@@ -39,7 +39,7 @@
     return policy;
 }
 
-TEST_CASE("own dispatches are doubtful until an event confirms them")
+TEST_CASE("own dispatches have less weight until an event confirms them")
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
@@ -51,9 +51,9 @@
     CHECK(tokensAt(index, 3, prompt) == Approx(40));
 }
 
-TEST_CASE("of a long prompt some depths are kept, and the depth is known to within an eighth")
+TEST_CASE("some depths of a long prompt are kept, and its cached depth is known to within an eighth")
 {
-    // 15 by ones, eight to each of four doublings, and the last.
+    // Depths 1 to 15, eight for each of four doublings, and depth 256.
     constexpr std::size_t keptDepths = 15 + 4 * 8 + 1;
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(256);
@@ -75,7 +75,7 @@
     CHECK(dispatched.size() == keptDepths);
 }
 
-TEST_CASE("one pass gives each endpoint its own depth")
+TEST_CASE("one lookup returns the cached depth of each endpoint")
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
@@ -87,7 +87,7 @@
     CHECK(tokensAt(index, 1, prompt) == Approx(20));
 }
 
-TEST_CASE("a gap makes what is held of that endpoint doubtful, not gone")
+TEST_CASE("a gap in an endpoint's events reduces the weight of its blocks without removing them")
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
@@ -104,7 +104,7 @@
     CHECK(tokensAt(index, 0, prompt) == Approx(40));
 }
 
-TEST_CASE("an event that comes again changes nothing")
+TEST_CASE("a repeated event changes nothing")
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(2);
@@ -115,7 +115,7 @@
     CHECK(index.size() == 0);
 }
 
-TEST_CASE("evictions and clearing take blocks away from their endpoint alone")
+TEST_CASE("evicted and cleared events remove blocks of their endpoint only")
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
@@ -128,7 +128,7 @@
     CHECK(tokensAt(index, 1, prompt) == Approx(40));
 }
 
-TEST_CASE("a restart clears, and late events of the process before are left out")
+TEST_CASE("a new incarnation discards the blocks, and late events of the previous one are ignored")
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
@@ -144,7 +144,7 @@
     CHECK(tokensAt(index, 0, prompt) == 0);
 }
 
-TEST_CASE("hashes of another model or adapter don't match")
+TEST_CASE("scoped hashes of different models or adapters differ")
 {
     Hashes prompt = makeHashes(2);
     CHECK(scopedPrefixHashes(prompt, "m", "") != scopedPrefixHashes(prompt, "n", ""));
@@ -152,7 +152,7 @@
     CHECK(scopedPrefixHashes(prompt, "m", "a") == scopedPrefixHashes(prompt, "m", "a"));
 }
 
-TEST_CASE("the bound on memory holds and drops the ends of old prompts first")
+TEST_CASE("the memory limit holds, and the ends of old prompts are evicted first")
 {
     PrefixIndexPolicy policy = testPolicy();
     policy.maxBytes = std::size_t { 1024 } * 1024;
--- a/unittests/Routing/ResidencyFilterTest.cpp
+++ b/unittests/Routing/ResidencyFilterTest.cpp
@@ -4,14 +4,14 @@
 
 using namespace catkinwing;
 
-TEST_CASE("a residency that nobody filled allows no region")
+TEST_CASE("a default residency allows no region")
 {
     CHECK(allowsNowhere(Residency()));
     CHECK_FALSE(isAllowed(Residency(), "caldas"));
     CHECK_FALSE(isAllowed(Residency(), ""));
 }
 
-TEST_CASE("a residency allows its regions by their whole names")
+TEST_CASE("regions are matched by their whole names")
 {
     Residency residency = Residency::within({ "perth", "caldas", "perth" });
     CHECK(residency.regions.size() == 2);
@@ -21,7 +21,7 @@
     CHECK(isAllowed(Residency::unrestricted(), "anything"));
 }
 
-TEST_CASE("the stricter of two residencies is what both allow")
+TEST_CASE("the stricter of two residencies is their intersection")
 {
     Residency two = Residency::within({ "caldas", "valle" });
     Residency one = Residency::within({ "valle", "perth" });
@@ -33,7 +33,7 @@
     CHECK(stricterOf(Residency::unrestricted(), Residency::unrestricted()).anywhere);
 }
 
-TEST_CASE("regions in no order are intersected all the same")
+TEST_CASE("unsorted regions are intersected correctly")
 {
     Residency unsorted;
     unsorted.regions = { "valle", "antioquia" };
--- a/unittests/Routing/SlowStartTest.cpp
+++ b/unittests/Routing/SlowStartTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-TEST_CASE("the share grows from the initial weight to the whole over the window")
+TEST_CASE("the share grows from the initial weight to 1 over the window")
 {
     SlowStartPolicy policy { 10s, 0.2 };
     TimePoint start { 1h };
