--- a/include/catkinwing/Routing/CellView.h
+++ b/include/catkinwing/Routing/CellView.h
@@ -68,18 +68,18 @@
         EndpointView view;
         bool used { false };
         /// True while the endpoint is in the open lists of its models.
-        bool listedOpen { false };
+        bool inOpenLists { false };
         /// For each model of the view, the endpoint's index in that model's open
         /// list. Empty unless the endpoint is open.
         std::vector<std::uint32_t> openPositions;
     };
 
-    EndpointHandle takeSlot();
+    EndpointHandle allocateSlot();
     void addToIndex(EndpointHandle handle);
     void removeFromIndex(EndpointHandle handle);
-    void renewOpen(EndpointHandle handle);
-    void listOpen(EndpointHandle handle);
-    void unlistOpen(EndpointHandle handle);
+    void updateOpenLists(EndpointHandle handle);
+    void addToOpenLists(EndpointHandle handle);
+    void removeFromOpenLists(EndpointHandle handle);
     void setOpenPosition(EndpointHandle handle, absl::string_view model, std::uint32_t position);
 
     std::string m_region;
--- a/include/catkinwing/Routing/Forwarding.h
+++ b/include/catkinwing/Routing/Forwarding.h
@@ -68,12 +68,12 @@
 
 /// Per-model state that the caller keeps between decisions.
 struct ForwardState {
-    bool sendingToZones { false };
-    bool sendingToRegions { false };
+    bool forwardingToZones { false };
+    bool forwardingToRegions { false };
     /// Exponentially decayed counts of all requests and of those forwarded to
     /// other regions.
     double requests { 0 };
-    double sentToRegions { 0 };
+    double forwardedToRegions { 0 };
     TimePoint countedAt {};
 };
 
--- a/include/catkinwing/Routing/Hedging.h
+++ b/include/catkinwing/Routing/Hedging.h
@@ -23,7 +23,7 @@
 
 private:
     static constexpr std::size_t bucketCount = 96;
-    static constexpr std::uint32_t halveAt = 2000;
+    static constexpr std::uint32_t halvingThreshold = 2000;
 
     std::array<std::uint32_t, bucketCount> m_counts {};
     std::uint32_t m_total { 0 };
@@ -63,11 +63,11 @@
     Disabled,
     NotIdempotent,
     AlreadyDelivered,
-    EnoughHedges,
+    HedgeLimitReached,
     TooEarly,
-    NotLearned,
+    TooFewSamples,
     NoOtherEndpoint,
-    TooLateToHelp,
+    DeadlineTooClose,
     NoBudget };
 
 /// Decides whether to start a second attempt of a request now.
--- a/include/catkinwing/Routing/OutlierDetector.h
+++ b/include/catkinwing/Routing/OutlierDetector.h
@@ -36,7 +36,7 @@
     Duration maxEjection { std::chrono::minutes(5) };
     /// Time without an ejection after which the count of earlier ejections drops
     /// by one.
-    Duration forgiveAfter { std::chrono::minutes(2) };
+    Duration ejectionDecayInterval { std::chrono::minutes(2) };
     /// Maximum fraction of a peer group that is ejected at once, rounded down to
     /// whole endpoints.
     double maxEjectedFraction { 0.34 };
@@ -73,7 +73,7 @@
     /// Set if the endpoint was ejected; empty if its ejection ended.
     std::optional<EjectionCause> cause;
     /// When the ejection ends.
-    TimePoint until {};
+    TimePoint ejectedUntil {};
 };
 
 /// Detects endpoints that fail or are slow compared with their peers. Ejects them
@@ -105,7 +105,7 @@
         std::string incarnation;
         unsigned unreachableInARow { 0 };
         /// Ejections as unreachable since the last successful connection.
-        unsigned unreachableTimes { 0 };
+        unsigned unreachableEjections { 0 };
         /// True while ejected as unreachable. Neither \c maxEjectedFraction nor
         /// \c panicFraction applies to such an ejection.
         bool unreachable { false };
@@ -116,20 +116,20 @@
         double latencySeconds { 0 };
         unsigned ejections { 0 };
         bool ejected { false };
-        TimePoint until {};
-        std::optional<TimePoint> returnedAt;
+        TimePoint ejectedUntil {};
+        std::optional<TimePoint> reinstatedAt;
         TimePoint healthySince {};
     };
     using Group = std::vector<std::pair<std::string, Entry*>>;
 
     Entry& entry(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now);
-    std::optional<EjectionCause> suspicion(const Entry& entry, std::optional<double> medianLatency) const;
+    std::optional<EjectionCause> ejectionCause(const Entry& entry, std::optional<double> medianLatency) const;
     std::optional<double> medianLatency(const Group& group) const;
     void evaluateGroup(Group& group, TimePoint now, std::vector<EjectionChange>& changes);
     void ejectUnreachable(Group& group, TimePoint now, std::vector<EjectionChange>& changes) const;
     void eject(Entry& entry, TimePoint now) const;
-    void comeBack(Entry& entry, TimePoint now) const;
-    void forgive(Entry& entry, TimePoint now) const;
+    void endEjection(Entry& entry, TimePoint now) const;
+    void decayEjections(Entry& entry, TimePoint now) const;
 
     OutlierPolicy m_policy;
     absl::flat_hash_map<std::string, std::unique_ptr<Entry>> m_entries;
--- a/include/catkinwing/Routing/Placement.h
+++ b/include/catkinwing/Routing/Placement.h
@@ -71,7 +71,7 @@
 
 /// Returns why no endpoint of \p cell can accept \p request, or nothing if one
 /// can. Doesn't consider which endpoints earlier attempts used.
-std::optional<NoPlacementReason> whyNoPlacement(const RoutingRequest& request, const CellView& cell);
+std::optional<NoPlacementReason> findNoPlacementReason(const RoutingRequest& request, const CellView& cell);
 
 /// Returns whether an earlier attempt of \p request used the endpoint \p name.
 bool wasTried(const RoutingRequest& request, absl::string_view name);
--- a/include/catkinwing/Routing/PrefixIndex.h
+++ b/include/catkinwing/Routing/PrefixIndex.h
@@ -115,14 +115,14 @@
     };
     /// State of an endpoint's event stream. The epoch increases with each gap in
     /// the sequence numbers and whenever the recorded blocks are discarded.
-    struct Source {
+    struct EventStream {
         std::string incarnation;
         std::string previousIncarnation;
         std::uint64_t lastSequence { 0 };
         bool sequenceKnown { false };
         std::uint32_t epoch { 0 };
         /// Blocks recorded in an earlier epoch are invalid.
-        std::uint32_t validFrom { 0 };
+        std::uint32_t firstValidEpoch { 0 };
     };
 
     /// Hash table bytes per element at the lowest load factor, just after growing.
@@ -131,34 +131,34 @@
 
     Node& node(NodeIndex index);
     const Node& node(NodeIndex index) const;
-    Source& source(EndpointHandle endpoint);
-    double belief(const Holder& holder) const;
-    void clearHolds(Source& source);
-    bool isNewEvent(Source& source, const CacheEvent& event);
+    EventStream& eventStream(EndpointHandle endpoint);
+    double confidence(const Holder& holder) const;
+    void discardBlocks(EventStream& stream);
+    bool acceptEvent(EventStream& stream, const CacheEvent& event);
     void store(EndpointHandle endpoint, std::uint64_t hash, bool confirmed);
-    void storeChain(EndpointHandle endpoint, absl::Span<const std::uint64_t> hashes, bool confirmed);
+    void storePrefix(EndpointHandle endpoint, absl::Span<const std::uint64_t> hashes, bool confirmed);
     void evict(EndpointHandle endpoint, std::uint64_t hash);
     void addHolder(Node& node, const Holder& holder);
     NodeIndex findOrAdd(std::uint64_t hash);
-    NodeIndex takeNode();
+    NodeIndex allocateNode();
     void linkNewest(NodeIndex index);
     void unlink(NodeIndex index);
     void removeNode(NodeIndex index);
-    void keepWithinBound();
+    void evictToLimit();
     std::size_t liveBytes() const;
 
     PrefixIndexPolicy m_policy;
     std::vector<std::unique_ptr<Node[]>> m_chunks;
     /// Head of the free list, which is linked by Node::older.
     NodeIndex m_firstFree { noNode };
-    std::size_t m_nodesMade { 0 };
+    std::size_t m_nodesAllocated { 0 };
     /// Heap bytes of the holder lists that don't fit inline.
     std::size_t m_overflowBytes { 0 };
     NodeIndex m_newest { noNode };
     NodeIndex m_oldest { noNode };
-    std::size_t m_replaced { 0 };
+    std::size_t m_replacements { 0 };
     absl::flat_hash_map<std::uint64_t, NodeIndex> m_nodeOf;
-    std::vector<Source> m_sources;
+    std::vector<EventStream> m_eventStreams;
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/ResidencyFilter.h
+++ b/include/catkinwing/Routing/ResidencyFilter.h
@@ -31,6 +31,6 @@
 Residency stricterOf(const Residency& a, const Residency& b);
 
 /// Returns whether \p residency allows no region at all.
-bool allowsNowhere(const Residency& residency);
+bool allowsNoRegion(const Residency& residency);
 
 } // namespace catkinwing
--- a/lib/Routing/BaselinePlacement.cpp
+++ b/lib/Routing/BaselinePlacement.cpp
@@ -5,12 +5,12 @@
 namespace catkinwing {
 
 /// The result if every open endpoint was used by an earlier attempt.
-static NoPlacement noneLeft()
+static NoPlacement noUntriedEndpoint()
 {
     return { NoPlacementReason::AllTried };
 }
 
-static Placement placeAt(EndpointHandle handle, const RoutingRequest& request, const CellView& cell, const RoutingPolicy& policy, TimePoint now)
+static Placement makePlacement(EndpointHandle handle, const RoutingRequest& request, const CellView& cell, const RoutingPolicy& policy, TimePoint now)
 {
     const EndpointView& endpoint = cell.endpoint(handle);
     CostInputs inputs { request.promptTokens, 0, needsAdapterLoad(request, endpoint) };
@@ -18,7 +18,7 @@
     return { handle, terms.total, terms.prefillTokens, 0 };
 }
 
-static std::vector<EndpointHandle> untriedOpen(const RoutingRequest& request, const CellView& cell)
+static std::vector<EndpointHandle> untriedOpenEndpoints(const RoutingRequest& request, const CellView& cell)
 {
     std::vector<EndpointHandle> handles;
     for (EndpointHandle handle : cell.openEndpointsFor(request.model)) {
@@ -35,40 +35,40 @@
         EndpointHandle handle = all[(request.sequence + step) % all.size()];
         const EndpointView& endpoint = cell.endpoint(handle);
         if (isOpen(endpoint) && !wasTried(request, endpoint.name))
-            return placeAt(handle, request, cell, policy, now);
+            return makePlacement(handle, request, cell, policy, now);
     }
-    return noneLeft();
+    return noUntriedEndpoint();
 }
 
 PlacementResult chooseLeastInFlight(const RoutingRequest& request, const CellView& cell, const RoutingPolicy& policy, Random& random, TimePoint now)
 {
-    std::vector<EndpointHandle> least;
-    for (EndpointHandle handle : untriedOpen(request, cell)) {
+    std::vector<EndpointHandle> leastLoaded;
+    for (EndpointHandle handle : untriedOpenEndpoints(request, cell)) {
         unsigned inFlight = cell.endpoint(handle).ownInFlight;
-        if (!least.empty() && inFlight > cell.endpoint(least.front()).ownInFlight)
+        if (!leastLoaded.empty() && inFlight > cell.endpoint(leastLoaded.front()).ownInFlight)
             continue;
-        if (!least.empty() && inFlight < cell.endpoint(least.front()).ownInFlight)
-            least.clear();
-        least.push_back(handle);
+        if (!leastLoaded.empty() && inFlight < cell.endpoint(leastLoaded.front()).ownInFlight)
+            leastLoaded.clear();
+        leastLoaded.push_back(handle);
     }
-    if (least.empty())
-        return noneLeft();
-    return placeAt(least[random.below(least.size())], request, cell, policy, now);
+    if (leastLoaded.empty())
+        return noUntriedEndpoint();
+    return makePlacement(leastLoaded[random.below(leastLoaded.size())], request, cell, policy, now);
 }
 
 PlacementResult choosePowerOfTwo(const RoutingRequest& request, const CellView& cell, const RoutingPolicy& policy, Random& random, TimePoint now)
 {
-    std::vector<EndpointHandle> handles = untriedOpen(request, cell);
+    std::vector<EndpointHandle> handles = untriedOpenEndpoints(request, cell);
     if (handles.empty())
-        return noneLeft();
+        return noUntriedEndpoint();
     std::size_t first = random.below(handles.size());
     std::size_t second = first;
     if (handles.size() > 1) {
         second = random.below(handles.size() - 1);
         second += second >= first ? 1 : 0;
     }
-    bool secondIsLess = cell.endpoint(handles[second]).ownInFlight < cell.endpoint(handles[first]).ownInFlight;
-    return placeAt(handles[secondIsLess ? second : first], request, cell, policy, now);
+    bool secondIsLessLoaded = cell.endpoint(handles[second]).ownInFlight < cell.endpoint(handles[first]).ownInFlight;
+    return makePlacement(handles[secondIsLessLoaded ? second : first], request, cell, policy, now);
 }
 
 } // namespace catkinwing
--- a/lib/Routing/CellView.cpp
+++ b/lib/Routing/CellView.cpp
@@ -13,16 +13,16 @@
 }
 
 /// Sorts \p names and removes duplicates, which would be indexed twice.
-static void dropRepeats(std::vector<std::string>& names)
+static void sortAndDeduplicate(std::vector<std::string>& names)
 {
     std::sort(names.begin(), names.end());
     names.erase(std::unique(names.begin(), names.end()), names.end());
 }
 
-static void dropRepeats(EndpointView& endpoint)
+static void sortAndDeduplicate(EndpointView& endpoint)
 {
-    dropRepeats(endpoint.models);
-    dropRepeats(endpoint.adapters);
+    sortAndDeduplicate(endpoint.models);
+    sortAndDeduplicate(endpoint.adapters);
 }
 
 EndpointHandle CellView::upsert(EndpointView endpoint)
@@ -33,9 +33,9 @@
         modify(handle, [&endpoint](EndpointView& view) { view = std::move(endpoint); });
         return handle;
     }
-    EndpointHandle handle = takeSlot();
+    EndpointHandle handle = allocateSlot();
     m_byName.emplace(endpoint.name, handle);
-    dropRepeats(endpoint);
+    sortAndDeduplicate(endpoint);
     m_slots[handle].view = std::move(endpoint);
     m_slots[handle].used = true;
     addToIndex(handle);
@@ -72,12 +72,12 @@
     assert(contains(handle) && "handle does not refer to an endpoint of the cell");
     EndpointView changed = m_slots[handle].view;
     change(changed);
-    dropRepeats(changed);
+    sortAndDeduplicate(changed);
     assert(changed.name == m_slots[handle].view.name && "the name of an endpoint must not change");
     EndpointView& view = m_slots[handle].view;
     if (changed.models == view.models && changed.adapters == view.adapters) {
         view = std::move(changed);
-        renewOpen(handle);
+        updateOpenLists(handle);
         return;
     }
     removeFromIndex(handle);
@@ -111,7 +111,7 @@
 
 bool CellView::isOpenFor(EndpointHandle handle, absl::string_view model) const
 {
-    if (!contains(handle) || !m_slots[handle].listedOpen)
+    if (!contains(handle) || !m_slots[handle].inOpenLists)
         return false;
     const auto& models = m_slots[handle].view.models;
     return std::any_of(models.begin(), models.end(), [model](const std::string& served) { return served == model; });
@@ -128,7 +128,7 @@
 void CellView::recordDispatch(EndpointHandle handle, double prefillTokens, TimePoint now)
 {
     catkinwing::recordDispatch(m_slots[handle].view, prefillTokens, now);
-    renewOpen(handle);
+    updateOpenLists(handle);
 }
 
 void CellView::recordFirstToken(EndpointHandle handle, double prefillTokens)
@@ -139,7 +139,7 @@
 void CellView::recordSettled(EndpointHandle handle, TimePoint now)
 {
     catkinwing::recordSettled(m_slots[handle].view, now);
-    renewOpen(handle);
+    updateOpenLists(handle);
 }
 
 void CellView::recordReport(EndpointHandle handle, const EndpointLoadReport& report)
@@ -147,7 +147,7 @@
     catkinwing::recordReport(m_slots[handle].view, report);
 }
 
-EndpointHandle CellView::takeSlot()
+EndpointHandle CellView::allocateSlot()
 {
     if (!m_freeSlots.empty()) {
         EndpointHandle handle = m_freeSlots.back();
@@ -164,7 +164,7 @@
         m_byModel[model].all.push_back(handle);
     for (const std::string& adapter : m_slots[handle].view.adapters)
         m_byAdapter[adapter].push_back(handle);
-    renewOpen(handle);
+    updateOpenLists(handle);
 }
 
 static void eraseHandle(std::vector<EndpointHandle>& handles, EndpointHandle handle)
@@ -174,8 +174,8 @@
 
 void CellView::removeFromIndex(EndpointHandle handle)
 {
-    if (m_slots[handle].listedOpen)
-        unlistOpen(handle);
+    if (m_slots[handle].inOpenLists)
+        removeFromOpenLists(handle);
     for (const std::string& model : m_slots[handle].view.models) {
         auto index = m_byModel.find(model);
         if (index == m_byModel.end())
@@ -194,18 +194,18 @@
     }
 }
 
-void CellView::renewOpen(EndpointHandle handle)
+void CellView::updateOpenLists(EndpointHandle handle)
 {
     bool open = isOpen(m_slots[handle].view);
-    if (open == m_slots[handle].listedOpen)
+    if (open == m_slots[handle].inOpenLists)
         return;
     if (open)
-        listOpen(handle);
+        addToOpenLists(handle);
     else
-        unlistOpen(handle);
+        removeFromOpenLists(handle);
 }
 
-void CellView::listOpen(EndpointHandle handle)
+void CellView::addToOpenLists(EndpointHandle handle)
 {
     Slot& slot = m_slots[handle];
     slot.openPositions.clear();
@@ -214,10 +214,10 @@
         slot.openPositions.push_back(static_cast<std::uint32_t>(open.size()));
         open.push_back(handle);
     }
-    slot.listedOpen = true;
+    slot.inOpenLists = true;
 }
 
-void CellView::unlistOpen(EndpointHandle handle)
+void CellView::removeFromOpenLists(EndpointHandle handle)
 {
     Slot& slot = m_slots[handle];
     for (std::size_t i = 0; i < slot.view.models.size(); ++i) {
@@ -232,7 +232,7 @@
             setOpenPosition(last, model, position);
     }
     slot.openPositions.clear();
-    slot.listedOpen = false;
+    slot.inOpenLists = false;
 }
 
 void CellView::setOpenPosition(EndpointHandle handle, absl::string_view model, std::uint32_t position)
--- a/lib/Routing/CostModel.cpp
+++ b/lib/Routing/CostModel.cpp
@@ -17,15 +17,15 @@
     return endpoint.ownInFlight + endpoint.othersInFlight;
 }
 
-static double believedBacklog(const EndpointView& endpoint, TimePoint now)
+static double estimatedBacklog(const EndpointView& endpoint, TimePoint now)
 {
-    double drained = remainingTokens(endpoint.backlog, endpoint.prefillTokensPerSecond, now);
+    double remaining = remainingTokens(endpoint.backlog, endpoint.prefillTokensPerSecond, now);
     // The backlog includes at least this entry's requests without a first token,
     // even if the engine prefills more slowly than estimated.
-    return std::max(drained, endpoint.ownPendingPrefillTokens);
+    return std::max(remaining, endpoint.ownPendingPrefillTokens);
 }
 
-static Duration waitForSlot(const EndpointView& endpoint, unsigned inFlight)
+static Duration predictSlotWait(const EndpointView& endpoint, unsigned inFlight)
 {
     if (inFlight < endpoint.slots || endpoint.slots == 0)
         return Duration::zero();
@@ -41,8 +41,8 @@
 
     CostTerms terms;
     terms.prefillTokens = std::max(inputs.promptTokens - inputs.cachedTokens, 0.0);
-    terms.queue = fromSeconds(believedBacklog(endpoint, now) * secondsPerToken);
-    terms.slotWait = waitForSlot(endpoint, inFlight);
+    terms.queue = fromSeconds(estimatedBacklog(endpoint, now) * secondsPerToken);
+    terms.slotWait = predictSlotWait(endpoint, inFlight);
     terms.prefill = fromSeconds(terms.prefillTokens * secondsPerToken);
     terms.network = endpoint.roundTripTime;
     if (inputs.needsAdapterLoad)
--- a/lib/Routing/Forwarding.cpp
+++ b/lib/Routing/Forwarding.cpp
@@ -9,7 +9,7 @@
 namespace catkinwing {
 
 /// Cells whose predictions exceed the best one by at most this count as equal.
-static constexpr Duration equalWithin = std::chrono::milliseconds(5);
+static constexpr Duration predictionTolerance = std::chrono::milliseconds(5);
 
 static bool hasVisited(const RoutingRequest& request, absl::string_view zone)
 {
@@ -23,8 +23,8 @@
     if (freshness <= 0)
         return 0;
     double ramp = slowStartWeight(policy.slowStart, cell.reachableSince, now);
-    double part = model.freeSlots * freshness * ramp / std::max(policy.senders, 1U);
-    auto allowed = static_cast<unsigned>(std::floor(part + cell.digestDither));
+    double share = model.freeSlots * freshness * ramp / std::max(policy.senders, 1U);
+    auto allowed = static_cast<unsigned>(std::floor(share + cell.digestDither));
     return allowed > model.forwardsSinceDigest ? allowed - model.forwardsSinceDigest : 0;
 }
 
@@ -44,7 +44,7 @@
     return policy;
 }
 
-static bool mayReceive(const ForwardInputs& inputs, const RemoteCellView& cell)
+static bool isEligibleTarget(const ForwardInputs& inputs, const RemoteCellView& cell)
 {
     if (!isAllowed(inputs.request.residency, cell.region))
         return false;
@@ -67,7 +67,7 @@
     return cell.roundTripTime + model.predictedWait + prefill;
 }
 
-static bool isLate(const ForwardInputs& inputs, Duration prediction)
+static bool missesDeadline(const ForwardInputs& inputs, Duration prediction)
 {
     return inputs.request.timeLeft && prediction > *inputs.request.timeLeft;
 }
@@ -76,10 +76,10 @@
 static Duration thresholdFor(const ForwardInputs& inputs, const ForwardState& state, bool otherRegion)
 {
     // If the request would miss its deadline here, any gain is enough.
-    if (inputs.localPrediction && isLate(inputs, *inputs.localPrediction))
+    if (inputs.localPrediction && missesDeadline(inputs, *inputs.localPrediction))
         return Duration::zero();
     const ForwardPolicy& policy = inputs.policy;
-    double factor = (otherRegion ? state.sendingToRegions : state.sendingToZones) ? policy.keepFactor : 1;
+    double factor = (otherRegion ? state.forwardingToRegions : state.forwardingToZones) ? policy.keepFactor : 1;
     if (otherRegion)
         factor *= 1 + policy.sharePenalty * shareSentAway(state) / policy.targetShare;
     Duration base = otherRegion ? policy.regionThreshold : policy.zoneThreshold;
@@ -102,10 +102,10 @@
     Receivers receivers;
     for (std::size_t i = 0; i < inputs.cells.size(); ++i) {
         const RemoteCellView& cell = inputs.cells[i];
-        if ((cell.region != inputs.ownRegion) != otherRegion || !mayReceive(inputs, cell))
+        if ((cell.region != inputs.ownRegion) != otherRegion || !isEligibleTarget(inputs, cell))
             continue;
         Duration prediction = predictRemote(inputs, cell);
-        if (isLate(inputs, prediction))
+        if (missesDeadline(inputs, prediction))
             continue;
         Duration gain = inputs.localPrediction ? *inputs.localPrediction - prediction : Duration::max();
         receivers.forwards.push_back({ i, otherRegion, prediction, gain });
@@ -114,27 +114,27 @@
     return receivers;
 }
 
-static Forward drawNearBest(const Receivers& receivers, Random& random)
+static Forward chooseNearBest(const Receivers& receivers, Random& random)
 {
-    std::vector<const Forward*> near;
+    std::vector<const Forward*> nearBest;
     for (const Forward& forward : receivers.forwards) {
-        if (forward.predictedTimeToFirstToken - receivers.best <= equalWithin)
-            near.push_back(&forward);
+        if (forward.predictedTimeToFirstToken - receivers.best <= predictionTolerance)
+            nearBest.push_back(&forward);
     }
-    return *near[random.below(near.size())];
+    return *nearBest[random.below(nearBest.size())];
 }
 
 /// Returns the forward to one of \p receivers if its gain exceeds the threshold,
 /// and updates the hysteresis flag.
 static std::optional<Forward> chooseReceiver(const Receivers& receivers, const ForwardInputs& inputs, ForwardState& state, bool otherRegion, Random& random)
 {
-    bool& sending = otherRegion ? state.sendingToRegions : state.sendingToZones;
+    bool& forwarding = otherRegion ? state.forwardingToRegions : state.forwardingToZones;
     Duration threshold = thresholdFor(inputs, state, otherRegion);
-    bool worth = !receivers.forwards.empty() && (!inputs.localPrediction || *inputs.localPrediction - receivers.best > threshold);
-    sending = worth;
-    if (!worth)
+    bool worthwhile = !receivers.forwards.empty() && (!inputs.localPrediction || *inputs.localPrediction - receivers.best > threshold);
+    forwarding = worthwhile;
+    if (!worthwhile)
         return std::nullopt;
-    return drawNearBest(receivers, random);
+    return chooseNearBest(receivers, random);
 }
 
 ForwardDecision decideForward(const ForwardInputs& inputs, ForwardState& state, Random& random)
@@ -153,16 +153,16 @@
 
 void recordRouted(ForwardState& state, const ForwardPolicy& policy, bool toOtherRegion, TimePoint now)
 {
-    double passed = toSeconds(std::max(now - state.countedAt, Duration::zero()));
-    double kept = std::exp(-passed / toSeconds(policy.shareWindow));
-    state.requests = state.requests * kept + 1;
-    state.sentToRegions = state.sentToRegions * kept + (toOtherRegion ? 1 : 0);
+    double elapsed = toSeconds(std::max(now - state.countedAt, Duration::zero()));
+    double decay = std::exp(-elapsed / toSeconds(policy.shareWindow));
+    state.requests = state.requests * decay + 1;
+    state.forwardedToRegions = state.forwardedToRegions * decay + (toOtherRegion ? 1 : 0);
     state.countedAt = now;
 }
 
 double shareSentAway(const ForwardState& state)
 {
-    return state.requests > 0 ? state.sentToRegions / state.requests : 0;
+    return state.requests > 0 ? state.forwardedToRegions / state.requests : 0;
 }
 
 void recordForward(RemoteCellView& cell, absl::string_view model)
--- a/lib/Routing/Hedging.cpp
+++ b/lib/Routing/Hedging.cpp
@@ -16,7 +16,7 @@
     auto bucket = static_cast<std::size_t>(std::log(ratio) / std::log(edgeRatio));
     m_counts[std::min(bucket, bucketCount - 1)] += 1;
     m_total += 1;
-    if (m_total < halveAt)
+    if (m_total < halvingThreshold)
         return;
     m_total = 0;
     for (std::uint32_t& count : m_counts) {
@@ -29,12 +29,12 @@
 {
     if (m_total < minimumSamples)
         return std::nullopt;
-    double wanted = fraction * m_total;
-    double passed = 0;
+    double targetCount = fraction * m_total;
+    double cumulativeCount = 0;
     std::size_t bucket = 0;
     while (bucket + 1 < bucketCount) {
-        passed += m_counts[bucket];
-        if (passed >= wanted)
+        cumulativeCount += m_counts[bucket];
+        if (cumulativeCount >= targetCount)
             break;
         bucket += 1;
     }
@@ -50,15 +50,15 @@
     if (inputs.delivered)
         return HedgeDecision::AlreadyDelivered;
     if (inputs.hedgesSoFar >= policy.maxHedges)
-        return HedgeDecision::EnoughHedges;
+        return HedgeDecision::HedgeLimitReached;
     if (!inputs.learnedWait)
-        return HedgeDecision::NotLearned;
+        return HedgeDecision::TooFewSamples;
     if (inputs.elapsed < std::max(*inputs.learnedWait, policy.minimumWait))
         return HedgeDecision::TooEarly;
     if (!inputs.secondPrediction)
         return HedgeDecision::NoOtherEndpoint;
     if (inputs.timeLeft && *inputs.secondPrediction > *inputs.timeLeft)
-        return HedgeDecision::TooLateToHelp;
+        return HedgeDecision::DeadlineTooClose;
     if (!inputs.budgetAvailable)
         return HedgeDecision::NoBudget;
     return HedgeDecision::Hedge;
--- a/lib/Routing/OutlierDetector.cpp
+++ b/lib/Routing/OutlierDetector.cpp
@@ -7,7 +7,7 @@
 
 namespace catkinwing {
 
-static constexpr std::size_t peersForMedian = 3;
+static constexpr std::size_t minPeersForMedian = 3;
 
 OutlierDetector::OutlierDetector(OutlierPolicy policy)
     : m_policy(policy)
@@ -44,7 +44,7 @@
         return;
     known.unreachableInARow = outcome.unreachable ? known.unreachableInARow + 1 : 0;
     if (!outcome.unreachable)
-        known.unreachableTimes = 0;
+        known.unreachableEjections = 0;
     known.errorsInARow = outcome.failed ? known.errorsInARow + 1 : 0;
     known.outcomes += 1;
     known.errorRate += m_policy.smoothing * ((outcome.failed ? 1.0 : 0.0) - known.errorRate);
@@ -76,14 +76,14 @@
         if (known->latencies >= m_policy.minimumOutcomes)
             latencies.push_back(known->latencySeconds);
     }
-    if (latencies.size() < peersForMedian)
+    if (latencies.size() < minPeersForMedian)
         return std::nullopt;
     auto middle = latencies.begin() + static_cast<std::ptrdiff_t>(latencies.size() / 2);
     std::nth_element(latencies.begin(), middle, latencies.end());
     return *middle;
 }
 
-std::optional<EjectionCause> OutlierDetector::suspicion(const Entry& entry, std::optional<double> medianLatency) const
+std::optional<EjectionCause> OutlierDetector::ejectionCause(const Entry& entry, std::optional<double> medianLatency) const
 {
     if (entry.errorsInARow >= m_policy.consecutiveErrors)
         return EjectionCause::ConsecutiveErrors;
@@ -97,42 +97,42 @@
 void OutlierDetector::evaluateGroup(Group& group, TimePoint now, std::vector<EjectionChange>& changes)
 {
     for (auto& [endpoint, known] : group) {
-        if (known->ejected && now >= known->until) {
-            comeBack(*known, now);
+        if (known->ejected && now >= known->ejectedUntil) {
+            endEjection(*known, now);
             changes.push_back({ endpoint, std::nullopt, {} });
         }
-        forgive(*known, now);
+        decayEjections(*known, now);
     }
     ejectUnreachable(group, now, changes);
     std::optional<double> median = medianLatency(group);
     std::vector<std::pair<std::string, Entry*>> suspects;
-    std::size_t out = 0;
+    std::size_t ejectedCount = 0;
     for (auto& [endpoint, known] : group) {
         if (known->ejected)
-            out += 1;
-        else if (suspicion(*known, median))
+            ejectedCount += 1;
+        else if (ejectionCause(*known, median))
             suspects.emplace_back(endpoint, known);
     }
     auto size = static_cast<double>(group.size());
-    if (static_cast<double>(out + suspects.size()) >= m_policy.panicFraction * size) {
+    if (static_cast<double>(ejectedCount + suspects.size()) >= m_policy.panicFraction * size) {
         for (auto& [endpoint, known] : group) {
             if (!known->ejected)
                 continue;
-            comeBack(*known, now);
+            endEjection(*known, now);
             changes.push_back({ endpoint, std::nullopt, {} });
         }
         return;
     }
-    auto mostOut = static_cast<std::size_t>(std::floor(m_policy.maxEjectedFraction * size));
+    auto maxEjected = static_cast<std::size_t>(std::floor(m_policy.maxEjectedFraction * size));
     // The cap may not allow all ejections, so the worst suspects come first.
     std::stable_sort(suspects.begin(), suspects.end(), [](const auto& a, const auto& b) { return a.second->errorsInARow > b.second->errorsInARow; });
     for (auto& [endpoint, known] : suspects) {
-        if (out >= mostOut)
+        if (ejectedCount >= maxEjected)
             return;
-        std::optional<EjectionCause> cause = suspicion(*known, median);
+        std::optional<EjectionCause> cause = ejectionCause(*known, median);
         eject(*known, now);
-        changes.push_back({ endpoint, cause, known->until });
-        out += 1;
+        changes.push_back({ endpoint, cause, known->ejectedUntil });
+        ejectedCount += 1;
     }
 }
 
@@ -146,14 +146,14 @@
     for (auto& [endpoint, known] : group) {
         if (known->ejected || known->unreachableInARow < m_policy.consecutiveUnreachable)
             continue;
-        Duration time = m_policy.unreachableRetry;
-        for (unsigned i = 0; i < known->unreachableTimes && time < m_policy.baseEjection; ++i)
-            time *= 2;
-        known->unreachableTimes += 1;
+        Duration duration = m_policy.unreachableRetry;
+        for (unsigned i = 0; i < known->unreachableEjections && duration < m_policy.baseEjection; ++i)
+            duration *= 2;
+        known->unreachableEjections += 1;
         known->unreachable = true;
         known->ejected = true;
-        known->until = now + std::min(time, m_policy.baseEjection);
-        changes.push_back({ endpoint, EjectionCause::Unreachable, known->until });
+        known->ejectedUntil = now + std::min(duration, m_policy.baseEjection);
+        changes.push_back({ endpoint, EjectionCause::Unreachable, known->ejectedUntil });
     }
     auto isUnreachable = [](const auto& peer) { return peer.second->unreachable; };
     group.erase(std::remove_if(group.begin(), group.end(), isUnreachable), group.end());
@@ -161,21 +161,21 @@
 
 void OutlierDetector::eject(Entry& entry, TimePoint now) const
 {
-    Duration time = m_policy.baseEjection;
-    for (unsigned i = 0; i < entry.ejections && time < m_policy.maxEjection; ++i)
-        time *= 2;
+    Duration duration = m_policy.baseEjection;
+    for (unsigned i = 0; i < entry.ejections && duration < m_policy.maxEjection; ++i)
+        duration *= 2;
     entry.ejections += 1;
     entry.ejected = true;
-    entry.until = now + std::min(time, m_policy.maxEjection);
+    entry.ejectedUntil = now + std::min(duration, m_policy.maxEjection);
 }
 
-void OutlierDetector::comeBack(Entry& entry, TimePoint now) const
+void OutlierDetector::endEjection(Entry& entry, TimePoint now) const
 {
     // One more failed connection ejects an unreachable endpoint again.
     entry.unreachableInARow = entry.unreachable ? m_policy.consecutiveUnreachable - 1 : 0;
     entry.unreachable = false;
     entry.ejected = false;
-    entry.returnedAt = now;
+    entry.reinstatedAt = now;
     entry.healthySince = now;
     // Outcomes from before the ejection must not cause another one.
     entry.errorsInARow = 0;
@@ -184,9 +184,9 @@
     entry.latencies = 0;
 }
 
-void OutlierDetector::forgive(Entry& entry, TimePoint now) const
+void OutlierDetector::decayEjections(Entry& entry, TimePoint now) const
 {
-    if (entry.ejected || entry.ejections == 0 || now - entry.healthySince < m_policy.forgiveAfter)
+    if (entry.ejected || entry.ejections == 0 || now - entry.healthySince < m_policy.ejectionDecayInterval)
         return;
     entry.ejections -= 1;
     entry.healthySince = now;
@@ -205,9 +205,9 @@
         return 1;
     if (known->second->ejected)
         return 0;
-    if (!known->second->returnedAt)
+    if (!known->second->reinstatedAt)
         return 1;
-    return slowStartWeight(m_policy.slowStart, *known->second->returnedAt, now);
+    return slowStartWeight(m_policy.slowStart, *known->second->reinstatedAt, now);
 }
 
 } // namespace catkinwing
--- a/lib/Routing/Placement.cpp
+++ b/lib/Routing/Placement.cpp
@@ -22,7 +22,7 @@
         /// Expected cached tokens at each endpoint, by handle.
         std::vector<float> cached;
         /// True for endpoints that were already considered, by handle.
-        std::vector<bool> seen;
+        std::vector<bool> considered;
         std::vector<Candidate> candidates;
     };
 
@@ -40,11 +40,11 @@
     return !std::binary_search(endpoint.adapters.begin(), endpoint.adapters.end(), request.adapter);
 }
 
-static void score(Scoring& scoring, EndpointHandle handle)
+static void scoreEndpoint(Scoring& scoring, EndpointHandle handle)
 {
-    if (scoring.seen[handle])
+    if (scoring.considered[handle])
         return;
-    scoring.seen[handle] = true;
+    scoring.considered[handle] = true;
     const EndpointView& endpoint = scoring.cell.endpoint(handle);
     if (wasTried(scoring.request, endpoint.name))
         return;
@@ -56,56 +56,56 @@
 
 static void scoreHolders(Scoring& scoring, std::vector<CachedPrefix> holders)
 {
-    auto closed = [&scoring](const CachedPrefix& holder) { return !scoring.cell.isOpenFor(holder.endpoint, scoring.request.model); };
-    holders.erase(std::remove_if(holders.begin(), holders.end(), closed), holders.end());
+    auto isClosed = [&scoring](const CachedPrefix& holder) { return !scoring.cell.isOpenFor(holder.endpoint, scoring.request.model); };
+    holders.erase(std::remove_if(holders.begin(), holders.end(), isClosed), holders.end());
     std::size_t count = std::min(holders.size(), scoring.policy.sampledHolders);
-    auto most = [](const CachedPrefix& a, const CachedPrefix& b) { return a.tokens > b.tokens; };
-    std::partial_sort(holders.begin(), holders.begin() + static_cast<std::ptrdiff_t>(count), holders.end(), most);
+    auto hasMoreTokens = [](const CachedPrefix& a, const CachedPrefix& b) { return a.tokens > b.tokens; };
+    std::partial_sort(holders.begin(), holders.begin() + static_cast<std::ptrdiff_t>(count), holders.end(), hasMoreTokens);
     for (std::size_t i = 0; i < count; ++i)
-        score(scoring, holders[i].endpoint);
+        scoreEndpoint(scoring, holders[i].endpoint);
 }
 
-static void scoreDrawn(Scoring& scoring, absl::Span<const EndpointHandle> from, Random& random)
+static void scoreRandom(Scoring& scoring, absl::Span<const EndpointHandle> pool, Random& random)
 {
-    if (from.empty())
+    if (pool.empty())
         return;
     for (std::size_t i = 0; i < scoring.policy.sampledOthers; ++i) {
-        EndpointHandle handle = from[random.below(from.size())];
+        EndpointHandle handle = pool[random.below(pool.size())];
         if (scoring.cell.isOpenFor(handle, scoring.request.model))
-            score(scoring, handle);
+            scoreEndpoint(scoring, handle);
     }
 }
 
 static void scoreAll(Scoring& scoring, absl::Span<const EndpointHandle> open)
 {
     for (EndpointHandle handle : open)
-        score(scoring, handle);
+        scoreEndpoint(scoring, handle);
 }
 
 static void scoreSample(Scoring& scoring, absl::Span<const EndpointHandle> open, std::vector<CachedPrefix> holders, Random& random)
 {
     scoreHolders(scoring, std::move(holders));
-    scoreDrawn(scoring, open, random);
+    scoreRandom(scoring, open, random);
     if (!scoring.request.adapter.empty())
-        scoreDrawn(scoring, scoring.cell.endpointsWithAdapter(scoring.request.adapter), random);
+        scoreRandom(scoring, scoring.cell.endpointsWithAdapter(scoring.request.adapter), random);
     // The sample may consist only of endpoints that earlier attempts used.
     if (scoring.candidates.empty())
         scoreAll(scoring, open);
 }
 
-static Placement drawNearBest(const Scoring& scoring, Random& random)
+static Placement chooseNearBest(const Scoring& scoring, Random& random)
 {
-    auto less = [](const Candidate& a, const Candidate& b) { return a.terms.total < b.terms.total; };
-    auto best = std::min_element(scoring.candidates.begin(), scoring.candidates.end(), less);
+    auto isShorter = [](const Candidate& a, const Candidate& b) { return a.terms.total < b.terms.total; };
+    auto best = std::min_element(scoring.candidates.begin(), scoring.candidates.end(), isShorter);
     Duration margin = nearBestMargin(best->terms.total, scoring.cell.endpoint(best->endpoint), scoring.policy, scoring.now);
     // Reservoir sampling: all near-best candidates are equally likely.
     const Candidate* chosen = &*best;
-    std::uint64_t near = 0;
+    std::uint64_t nearBestCount = 0;
     for (const Candidate& candidate : scoring.candidates) {
         if (!isNearBest(candidate.terms, best->terms, margin, scoring.policy))
             continue;
-        near += 1;
-        if (random.below(near) == 0)
+        nearBestCount += 1;
+        if (random.below(nearBestCount) == 0)
             chosen = &candidate;
     }
     return { chosen->endpoint, chosen->terms.total, chosen->terms.prefillTokens, chosen->cachedTokens };
@@ -126,10 +126,10 @@
         scoreSample(scoring, open, std::move(holders), random);
     if (scoring.candidates.empty())
         return NoPlacement { NoPlacementReason::AllTried };
-    return drawNearBest(scoring, random);
+    return chooseNearBest(scoring, random);
 }
 
-std::optional<NoPlacementReason> whyNoPlacement(const RoutingRequest& request, const CellView& cell)
+std::optional<NoPlacementReason> findNoPlacementReason(const RoutingRequest& request, const CellView& cell)
 {
     if (!isAllowed(request.residency, cell.region()))
         return NoPlacementReason::OutsideResidency;
@@ -150,7 +150,7 @@
 
 PlacementResult choosePlacement(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, const RoutingPolicy& policy, Random& random, TimePoint now)
 {
-    if (std::optional<NoPlacementReason> reason = whyNoPlacement(request, cell))
+    if (std::optional<NoPlacementReason> reason = findNoPlacementReason(request, cell))
         return NoPlacement { *reason };
     switch (policy.algorithm) {
     case RoutingAlgorithm::RoundRobin:
--- a/lib/Routing/PlacementExplanation.cpp
+++ b/lib/Routing/PlacementExplanation.cpp
@@ -4,7 +4,7 @@
 
 namespace catkinwing {
 
-static std::optional<ExclusionReason> exclusionOf(const RoutingRequest& request, const EndpointView& endpoint)
+static std::optional<ExclusionReason> exclusionReason(const RoutingRequest& request, const EndpointView& endpoint)
 {
     if (endpoint.state == EndpointState::Leaving)
         return ExclusionReason::Leaving;
@@ -17,7 +17,7 @@
     return std::nullopt;
 }
 
-static bool goesBefore(const CandidateExplanation& a, const CandidateExplanation& b)
+static bool ranksBefore(const CandidateExplanation& a, const CandidateExplanation& b)
 {
     if (a.exclusion.has_value() != b.exclusion.has_value())
         return !a.exclusion.has_value();
@@ -41,7 +41,7 @@
 PlacementExplanation explainPlacement(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, const RoutingPolicy& policy, TimePoint now)
 {
     PlacementExplanation explanation;
-    explanation.noPlacement = whyNoPlacement(request, cell);
+    explanation.noPlacement = findNoPlacementReason(request, cell);
     if (explanation.noPlacement == NoPlacementReason::OutsideResidency)
         return explanation;
     std::vector<double> cached(cell.handleLimit());
@@ -53,7 +53,7 @@
         const EndpointView& endpoint = cell.endpoint(handle);
         CandidateExplanation candidate;
         candidate.endpoint = endpoint.name;
-        candidate.exclusion = exclusionOf(request, endpoint);
+        candidate.exclusion = exclusionReason(request, endpoint);
         if (!candidate.exclusion) {
             candidate.cachedTokens = cached[handle];
             CostInputs inputs { request.promptTokens, cached[handle], needsAdapterLoad(request, endpoint) };
@@ -61,7 +61,7 @@
         }
         explanation.candidates.push_back(std::move(candidate));
     }
-    std::sort(explanation.candidates.begin(), explanation.candidates.end(), goesBefore);
+    std::sort(explanation.candidates.begin(), explanation.candidates.end(), ranksBefore);
     if (!explanation.noPlacement)
         markNearBest(explanation, cell, policy, now);
     return explanation;
--- a/lib/Routing/PrefixIndex.cpp
+++ b/lib/Routing/PrefixIndex.cpp
@@ -21,7 +21,7 @@
 /// The first depths are all kept. A cached depth is known to within an eighth.
 static constexpr std::size_t depthsPerDoubling = 8;
 
-static std::size_t stepAt(std::size_t depth)
+static std::size_t depthStep(std::size_t depth)
 {
     std::size_t step = 1;
     while (step * depthsPerDoubling * 2 <= depth)
@@ -31,18 +31,18 @@
 
 static std::size_t nextDepth(std::size_t depth)
 {
-    return depth + stepAt(depth);
+    return depth + depthStep(depth);
 }
 
 /// Returns the hashes at the depths that the index keeps. \p blocksBefore is the
 /// number of blocks of the prompt before the first hash.
-static std::vector<std::uint64_t> keptHashes(absl::Span<const std::uint64_t> hashes, std::size_t blocksBefore)
+static std::vector<std::uint64_t> hashesAtKeptDepths(absl::Span<const std::uint64_t> hashes, std::size_t blocksBefore)
 {
     std::vector<std::uint64_t> kept;
     kept.reserve(std::min(hashes.size(), 4 * depthsPerDoubling));
     for (std::size_t i = 0; i < hashes.size(); ++i) {
         std::size_t depth = blocksBefore + i + 1;
-        if (depth % stepAt(depth) == 0)
+        if (depth % depthStep(depth) == 0)
             kept.push_back(hashes[i]);
     }
     return kept;
@@ -55,63 +55,63 @@
 
 void PrefixIndex::recordDispatch(EndpointHandle endpoint, absl::Span<const std::uint64_t> hashes)
 {
-    storeChain(endpoint, keptHashes(hashes, 0), false);
+    storePrefix(endpoint, hashesAtKeptDepths(hashes, 0), false);
 }
 
 void PrefixIndex::applyEvent(EndpointHandle endpoint, const CacheEvent& event)
 {
-    if (!isNewEvent(source(endpoint), event))
+    if (!acceptEvent(eventStream(endpoint), event))
         return;
     switch (event.kind) {
     case CacheEventKind::Stored:
-        storeChain(endpoint, event.firstBlock ? keptHashes(event.hashes, *event.firstBlock) : event.hashes, true);
+        storePrefix(endpoint, event.firstBlock ? hashesAtKeptDepths(event.hashes, *event.firstBlock) : event.hashes, true);
         return;
     case CacheEventKind::Evicted:
         for (std::uint64_t hash : event.hashes)
             evict(endpoint, hash);
         return;
     case CacheEventKind::Cleared:
-        clearHolds(source(endpoint));
+        discardBlocks(eventStream(endpoint));
         return;
     }
 }
 
-bool PrefixIndex::isNewEvent(Source& source, const CacheEvent& event)
+bool PrefixIndex::acceptEvent(EventStream& stream, const CacheEvent& event)
 {
-    if (event.incarnation != source.incarnation) {
+    if (event.incarnation != stream.incarnation) {
         // Late events of the previous incarnation may still arrive.
-        if (event.incarnation == source.previousIncarnation)
+        if (event.incarnation == stream.previousIncarnation)
             return false;
-        source.previousIncarnation = std::exchange(source.incarnation, event.incarnation);
-        source.sequenceKnown = false;
-        clearHolds(source);
+        stream.previousIncarnation = std::exchange(stream.incarnation, event.incarnation);
+        stream.sequenceKnown = false;
+        discardBlocks(stream);
     }
-    if (source.sequenceKnown && event.sequence <= source.lastSequence)
+    if (stream.sequenceKnown && event.sequence <= stream.lastSequence)
         return false;
-    if (source.sequenceKnown && event.sequence > source.lastSequence + 1)
-        source.epoch += 1;
-    source.lastSequence = event.sequence;
-    source.sequenceKnown = true;
+    if (stream.sequenceKnown && event.sequence > stream.lastSequence + 1)
+        stream.epoch += 1;
+    stream.lastSequence = event.sequence;
+    stream.sequenceKnown = true;
     return true;
 }
 
 void PrefixIndex::setIncarnation(EndpointHandle endpoint, absl::string_view incarnation)
 {
-    Source& known = source(endpoint);
-    if (known.incarnation == incarnation)
+    EventStream& stream = eventStream(endpoint);
+    if (stream.incarnation == incarnation)
         return;
-    known.previousIncarnation = std::exchange(known.incarnation, std::string(incarnation));
-    known.sequenceKnown = false;
-    clearHolds(known);
+    stream.previousIncarnation = std::exchange(stream.incarnation, std::string(incarnation));
+    stream.sequenceKnown = false;
+    discardBlocks(stream);
 }
 
 void PrefixIndex::forget(EndpointHandle endpoint)
 {
-    Source& known = source(endpoint);
-    clearHolds(known);
-    known.incarnation.clear();
-    known.previousIncarnation.clear();
-    known.sequenceKnown = false;
+    EventStream& stream = eventStream(endpoint);
+    discardBlocks(stream);
+    stream.incarnation.clear();
+    stream.previousIncarnation.clear();
+    stream.sequenceKnown = false;
 }
 
 std::vector<CachedPrefix> PrefixIndex::cachedTokens(absl::Span<const std::uint64_t> hashes) const
@@ -121,14 +121,14 @@
         std::uint32_t depth;
     };
     std::vector<CachedPrefix> found;
-    std::vector<Reach> reached(m_sources.size(), Reach { 0, 0 });
+    std::vector<Reach> reached(m_eventStreams.size(), Reach { 0, 0 });
     for (std::size_t depth = 1; depth <= hashes.size(); depth = nextDepth(depth)) {
         auto known = m_nodeOf.find(hashes[depth - 1]);
         // Shorter prefixes are evicted last, so no deeper one is recorded either.
         if (known == m_nodeOf.end())
             break;
         for (const Holder& holder : node(known->second).holders) {
-            double weight = belief(holder);
+            double weight = confidence(holder);
             if (weight == 0)
                 continue;
             Reach& reach = reached[holder.endpoint];
@@ -150,14 +150,14 @@
     std::size_t slotBytes = sizeof(std::pair<const std::uint64_t, NodeIndex>) + 1;
     return m_chunks.size() * nodesPerChunk * sizeof(Node)
         + m_nodeOf.capacity() * slotBytes
-        + m_sources.capacity() * sizeof(Source)
+        + m_eventStreams.capacity() * sizeof(EventStream)
         + m_overflowBytes;
 }
 
 std::size_t PrefixIndex::liveBytes() const
 {
     // Adds one chunk to the nodes in use, since chunks are allocated whole.
-    std::size_t fixed = nodesPerChunk * sizeof(Node) + m_sources.capacity() * sizeof(Source);
+    std::size_t fixed = nodesPerChunk * sizeof(Node) + m_eventStreams.capacity() * sizeof(EventStream);
     return fixed + m_nodeOf.size() * (sizeof(Node) + tableBytesPerEntry) + m_overflowBytes;
 }
 
@@ -171,48 +171,48 @@
     return m_chunks[index / nodesPerChunk][index % nodesPerChunk];
 }
 
-PrefixIndex::Source& PrefixIndex::source(EndpointHandle endpoint)
+PrefixIndex::EventStream& PrefixIndex::eventStream(EndpointHandle endpoint)
 {
     assert(endpoint <= std::numeric_limits<std::uint16_t>::max() && "endpoint handle does not fit into Holder::endpoint");
-    if (endpoint >= m_sources.size())
-        m_sources.resize(endpoint + 1);
-    return m_sources[endpoint];
+    if (endpoint >= m_eventStreams.size())
+        m_eventStreams.resize(endpoint + 1);
+    return m_eventStreams[endpoint];
 }
 
-double PrefixIndex::belief(const Holder& holder) const
+double PrefixIndex::confidence(const Holder& holder) const
 {
-    const Source& known = m_sources[holder.endpoint];
-    if (holder.epoch < known.validFrom)
+    const EventStream& stream = m_eventStreams[holder.endpoint];
+    if (holder.epoch < stream.firstValidEpoch)
         return 0;
     double weight = holder.confirmed ? m_policy.confirmedWeight : m_policy.dispatchedWeight;
-    for (std::uint32_t epoch = holder.epoch; epoch < known.epoch && weight > 0; ++epoch)
+    for (std::uint32_t epoch = holder.epoch; epoch < stream.epoch && weight > 0; ++epoch)
         weight = weight < m_policy.negligibleWeight ? 0 : weight * m_policy.gapFactor;
     return weight;
 }
 
-void PrefixIndex::clearHolds(Source& source)
+void PrefixIndex::discardBlocks(EventStream& stream)
 {
-    source.epoch += 1;
-    source.validFrom = source.epoch;
+    stream.epoch += 1;
+    stream.firstValidEpoch = stream.epoch;
 }
 
-void PrefixIndex::storeChain(EndpointHandle endpoint, absl::Span<const std::uint64_t> hashes, bool confirmed)
+void PrefixIndex::storePrefix(EndpointHandle endpoint, absl::Span<const std::uint64_t> hashes, bool confirmed)
 {
     // Stores the deepest block first, so that a prefix is always more recent than
     // its extensions and eviction removes the ends of chains first.
     for (auto hash = hashes.rbegin(); hash != hashes.rend(); ++hash)
         store(endpoint, *hash, confirmed);
-    keepWithinBound();
+    evictToLimit();
 }
 
 void PrefixIndex::store(EndpointHandle endpoint, std::uint64_t hash, bool confirmed)
 {
-    std::uint32_t epoch = source(endpoint).epoch;
+    std::uint32_t epoch = eventStream(endpoint).epoch;
     NodeIndex index = findOrAdd(hash);
     unlink(index);
     linkNewest(index);
-    Node& held = node(index);
-    for (Holder& holder : held.holders) {
+    Node& block = node(index);
+    for (Holder& holder : block.holders) {
         if (holder.endpoint != endpoint)
             continue;
         bool stillConfirmed = holder.confirmed && holder.epoch == epoch;
@@ -220,19 +220,19 @@
         holder.epoch = epoch;
         return;
     }
-    addHolder(held, { static_cast<std::uint16_t>(endpoint), confirmed, epoch });
+    addHolder(block, { static_cast<std::uint16_t>(endpoint), confirmed, epoch });
 }
 
 void PrefixIndex::addHolder(Node& node, const Holder& holder)
 {
     for (Holder& old : node.holders) {
-        if (old.epoch < m_sources[old.endpoint].validFrom) {
+        if (old.epoch < m_eventStreams[old.endpoint].firstValidEpoch) {
             old = holder;
             return;
         }
     }
     if (node.holders.size() >= m_policy.maxHolders) {
-        node.holders[m_replaced++ % node.holders.size()] = holder;
+        node.holders[m_replacements++ % node.holders.size()] = holder;
         return;
     }
     std::size_t before = node.holders.capacity();
@@ -248,8 +248,8 @@
     if (known == m_nodeOf.end())
         return;
     auto& holders = node(known->second).holders;
-    auto gone = std::remove_if(holders.begin(), holders.end(), [endpoint](const Holder& holder) { return holder.endpoint == endpoint; });
-    holders.erase(gone, holders.end());
+    auto removed = std::remove_if(holders.begin(), holders.end(), [endpoint](const Holder& holder) { return holder.endpoint == endpoint; });
+    holders.erase(removed, holders.end());
     if (holders.empty())
         removeNode(known->second);
 }
@@ -259,20 +259,20 @@
     auto known = m_nodeOf.find(hash);
     if (known != m_nodeOf.end())
         return known->second;
-    NodeIndex index = takeNode();
+    NodeIndex index = allocateNode();
     node(index).hash = hash;
     m_nodeOf.emplace(hash, index);
     linkNewest(index);
     return index;
 }
 
-PrefixIndex::NodeIndex PrefixIndex::takeNode()
+PrefixIndex::NodeIndex PrefixIndex::allocateNode()
 {
     if (m_firstFree != noNode)
         return std::exchange(m_firstFree, node(m_firstFree).older);
-    if (m_nodesMade == m_chunks.size() * nodesPerChunk)
+    if (m_nodesAllocated == m_chunks.size() * nodesPerChunk)
         m_chunks.push_back(std::make_unique<Node[]>(nodesPerChunk));
-    return static_cast<NodeIndex>(m_nodesMade++);
+    return static_cast<NodeIndex>(m_nodesAllocated++);
 }
 
 void PrefixIndex::linkNewest(NodeIndex index)
@@ -311,7 +311,7 @@
     removed.older = std::exchange(m_firstFree, index);
 }
 
-void PrefixIndex::keepWithinBound()
+void PrefixIndex::evictToLimit()
 {
     while (liveBytes() > m_policy.maxBytes && m_oldest != noNode)
         removeNode(m_oldest);
--- a/lib/Routing/ResidencyFilter.cpp
+++ b/lib/Routing/ResidencyFilter.cpp
@@ -42,7 +42,7 @@
     return Residency::within(std::move(common));
 }
 
-bool allowsNowhere(const Residency& residency)
+bool allowsNoRegion(const Residency& residency)
 {
     return !residency.anywhere && residency.regions.empty();
 }
--- a/unittests/Routing/CellViewTest.cpp
+++ b/unittests/Routing/CellViewTest.cpp
@@ -50,7 +50,7 @@
     return count;
 }
 
-static void alterAtRandom(CellView& cell, EndpointHandle handle, Random& random)
+static void modifyAtRandom(CellView& cell, EndpointHandle handle, Random& random)
 {
     cell.modify(handle, [&random](EndpointView& view) {
         view.state = random.below(3) == 0 ? EndpointState::Leaving : EndpointState::Live;
@@ -75,7 +75,7 @@
         else if (action == 0)
             cell.remove(name);
         else if (action == 1)
-            alterAtRandom(cell, *handle, random);
+            modifyAtRandom(cell, *handle, random);
         else if (action < 4)
             cell.recordDispatch(*handle, 1, TimePoint(1s));
         else
--- a/unittests/Routing/ForwardingTest.cpp
+++ b/unittests/Routing/ForwardingTest.cpp
@@ -39,7 +39,7 @@
         return decideForward({ request, "caldas-1", "caldas", local, cells, policy, now }, state, random);
     }
 
-    std::string target(std::optional<Duration> local)
+    std::string decideTarget(std::optional<Duration> local)
     {
         ForwardDecision decision = decide(local);
         if (const auto* forward = std::get_if<Forward>(&decision))
@@ -51,43 +51,43 @@
 TEST_CASE("another zone of the region is preferred to another region")
 {
     Origin origin;
-    CHECK(origin.target(5s) == "caldas-2");
+    CHECK(origin.decideTarget(5s) == "caldas-2");
     origin.cells[0].models["m"].predictedWait = 5s;
-    CHECK(origin.target(5s) == "valle-1");
-    CHECK(origin.target(100ms) == "gain-too-small");
-    CHECK(origin.target(std::nullopt) == "caldas-2");
+    CHECK(origin.decideTarget(5s) == "valle-1");
+    CHECK(origin.decideTarget(100ms) == "gain-too-small");
+    CHECK(origin.decideTarget(std::nullopt) == "caldas-2");
 }
 
 TEST_CASE("nothing is forwarded to cells that are draining, unreachable, full, lack the model or have an old digest")
 {
     Origin origin;
     origin.cells.resize(1);
-    RemoteCellView good = origin.cells[0];
+    RemoteCellView healthy = origin.cells[0];
     origin.cells[0].draining = true;
-    CHECK(origin.target(5s) == "no-candidate");
-    origin.cells[0] = good;
+    CHECK(origin.decideTarget(5s) == "no-candidate");
+    origin.cells[0] = healthy;
     origin.cells[0].reachable = false;
-    CHECK(origin.target(5s) == "no-candidate");
-    origin.cells[0] = good;
+    CHECK(origin.decideTarget(5s) == "no-candidate");
+    origin.cells[0] = healthy;
     origin.cells[0].models["m"].freeSlots = 0;
-    CHECK(origin.target(5s) == "no-candidate");
-    origin.cells[0] = good;
+    CHECK(origin.decideTarget(5s) == "no-candidate");
+    origin.cells[0] = healthy;
     origin.cells[0].models.clear();
-    CHECK(origin.target(5s) == "no-candidate");
-    origin.cells[0] = good;
+    CHECK(origin.decideTarget(5s) == "no-candidate");
+    origin.cells[0] = healthy;
     origin.now = start + 11s;
-    CHECK(origin.target(5s) == "no-candidate");
+    CHECK(origin.decideTarget(5s) == "no-candidate");
 }
 
 TEST_CASE("forwarding starts at the threshold and stops below a fraction of it")
 {
     Origin origin;
     origin.cells.erase(origin.cells.begin());
-    CHECK(origin.target(450ms) == "gain-too-small");
-    CHECK(origin.target(600ms) == "valle-1");
-    CHECK(origin.target(450ms) == "valle-1");
-    CHECK(origin.target(250ms) == "gain-too-small");
-    CHECK(origin.target(450ms) == "gain-too-small");
+    CHECK(origin.decideTarget(450ms) == "gain-too-small");
+    CHECK(origin.decideTarget(600ms) == "valle-1");
+    CHECK(origin.decideTarget(450ms) == "valle-1");
+    CHECK(origin.decideTarget(250ms) == "gain-too-small");
+    CHECK(origin.decideTarget(450ms) == "gain-too-small");
 }
 
 TEST_CASE("the share forwarded to other regions raises the threshold for regions only")
@@ -96,13 +96,13 @@
     for (int i = 0; i < 10; ++i)
         recordRouted(origin.state, origin.policy, true, start);
     CHECK(shareSentAway(origin.state) == 1);
-    CHECK(origin.target(800ms) == "caldas-2");
+    CHECK(origin.decideTarget(800ms) == "caldas-2");
     origin.cells.erase(origin.cells.begin());
-    CHECK(origin.target(800ms) == "gain-too-small");
+    CHECK(origin.decideTarget(800ms) == "gain-too-small");
     for (int i = 0; i < 1000; ++i)
         recordRouted(origin.state, origin.policy, false, start + 5min);
     CHECK(shareSentAway(origin.state) < 0.001);
-    CHECK(origin.target(800ms) == "valle-1");
+    CHECK(origin.decideTarget(800ms) == "valle-1");
 }
 
 TEST_CASE("a request that would miss its deadline here is forwarded to a cell that can meet it")
@@ -110,9 +110,9 @@
     Origin origin;
     origin.cells.erase(origin.cells.begin());
     origin.request.timeLeft = 300ms;
-    CHECK(origin.target(350ms) == "valle-1");
+    CHECK(origin.decideTarget(350ms) == "valle-1");
     origin.request.timeLeft = 50ms;
-    CHECK(origin.target(350ms) == "no-candidate");
+    CHECK(origin.decideTarget(350ms) == "no-candidate");
 }
 
 TEST_CASE("forwards based on one digest are limited to this entry's share of the free slots")
@@ -120,12 +120,12 @@
     Origin origin;
     origin.policy.senders = 5;
     origin.cells.resize(1);
-    int sent = 0;
-    while (origin.target(5s) == "caldas-2") {
+    int forwards = 0;
+    while (origin.decideTarget(5s) == "caldas-2") {
         recordForward(origin.cells[0], "m");
-        sent += 1;
+        forwards += 1;
     }
-    CHECK(sent == 2);
+    CHECK(forwards == 2);
 }
 
 TEST_CASE("a forward that ended frees its slot, unless a newer digest accounts for it")
@@ -134,9 +134,9 @@
     origin.cells.resize(1);
     origin.cells[0].models["m"].freeSlots = 1;
     recordForward(origin.cells[0], "m");
-    CHECK(origin.target(5s) == "no-candidate");
+    CHECK(origin.decideTarget(5s) == "no-candidate");
     recordForwardEnded(origin.cells[0], "m", start);
-    CHECK(origin.target(5s) == "caldas-2");
+    CHECK(origin.decideTarget(5s) == "caldas-2");
     recordForwardEnded(origin.cells[0], "m", start);
     CHECK(origin.cells[0].models["m"].forwardsSinceDigest == 0);
 
@@ -184,7 +184,7 @@
     origin.cells[0].reachableSince = start;
     origin.cells[0].models["m"].freeSlots = 2;
     CHECK(std::holds_alternative<KeepLocal>(origin.decide(60s)));
-    CHECK(origin.target(std::nullopt) == "valle-1");
+    CHECK(origin.decideTarget(std::nullopt) == "valle-1");
 }
 
 TEST_CASE("forwards respect hop limit, visited zones and residency for random views")
--- a/unittests/Routing/HedgingTest.cpp
+++ b/unittests/Routing/HedgingTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static HedgeInputs ripeInputs()
+static HedgeInputs hedgeableInputs()
 {
     HedgeInputs inputs;
     inputs.idempotent = true;
@@ -19,22 +19,22 @@
 TEST_CASE("a hedge requires all of its conditions")
 {
     HedgePolicy policy;
-    CHECK(shouldHedge(ripeInputs(), policy) == HedgeDecision::Hedge);
+    CHECK(shouldHedge(hedgeableInputs(), policy) == HedgeDecision::Hedge);
     auto decide = [&policy](auto change) {
-        HedgeInputs inputs = ripeInputs();
+        HedgeInputs inputs = hedgeableInputs();
         change(inputs);
         return shouldHedge(inputs, policy);
     };
     CHECK(decide([](HedgeInputs& i) { i.idempotent = false; }) == HedgeDecision::NotIdempotent);
     CHECK(decide([](HedgeInputs& i) { i.delivered = true; }) == HedgeDecision::AlreadyDelivered);
-    CHECK(decide([](HedgeInputs& i) { i.hedgesSoFar = 1; }) == HedgeDecision::EnoughHedges);
+    CHECK(decide([](HedgeInputs& i) { i.hedgesSoFar = 1; }) == HedgeDecision::HedgeLimitReached);
     CHECK(decide([](HedgeInputs& i) { i.elapsed = 799ms; }) == HedgeDecision::TooEarly);
-    CHECK(decide([](HedgeInputs& i) { i.learnedWait.reset(); }) == HedgeDecision::NotLearned);
+    CHECK(decide([](HedgeInputs& i) { i.learnedWait.reset(); }) == HedgeDecision::TooFewSamples);
     CHECK(decide([](HedgeInputs& i) { i.secondPrediction.reset(); }) == HedgeDecision::NoOtherEndpoint);
-    CHECK(decide([](HedgeInputs& i) { i.timeLeft = 50ms; }) == HedgeDecision::TooLateToHelp);
+    CHECK(decide([](HedgeInputs& i) { i.timeLeft = 50ms; }) == HedgeDecision::DeadlineTooClose);
     CHECK(decide([](HedgeInputs& i) { i.budgetAvailable = false; }) == HedgeDecision::NoBudget);
     policy.enabled = false;
-    CHECK(shouldHedge(ripeInputs(), policy) == HedgeDecision::Disabled);
+    CHECK(shouldHedge(hedgeableInputs(), policy) == HedgeDecision::Disabled);
 }
 
 TEST_CASE("quantiles are accurate to within a fifth and follow a change of the latency")
--- a/unittests/Routing/OutlierDetectorTest.cpp
+++ b/unittests/Routing/OutlierDetectorTest.cpp
@@ -45,7 +45,7 @@
     REQUIRE(changes.size() == 1);
     CHECK(changes[0].endpoint == "e2");
     CHECK(changes[0].cause == EjectionCause::ConsecutiveErrors);
-    CHECK(changes[0].until == start + 10s);
+    CHECK(changes[0].ejectedUntil == start + 10s);
     CHECK(detector.weight("e2", start) == 0);
     changes = detector.evaluate(start + 10s);
     REQUIRE(changes.size() == 1);
@@ -58,35 +58,35 @@
 TEST_CASE("endpoints that refuse connections are ejected even if none remains")
 {
     OutlierDetector detector = makeDetector(2);
-    auto refuse = [&](int endpoint, TimePoint now) { detector.record({ nameOf(endpoint), "m", "a", true, std::nullopt, true }, now); };
+    auto recordRefusal = [&](int endpoint, TimePoint now) { detector.record({ nameOf(endpoint), "m", "a", true, std::nullopt, true }, now); };
     for (int endpoint : { 0, 1 }) {
-        refuse(endpoint, start);
-        refuse(endpoint, start);
+        recordRefusal(endpoint, start);
+        recordRefusal(endpoint, start);
     }
     CHECK(detector.evaluate(start).empty());
-    refuse(0, start);
-    refuse(1, start);
+    recordRefusal(0, start);
+    recordRefusal(1, start);
     std::vector<EjectionChange> changes = detector.evaluate(start);
     REQUIRE(changes.size() == 2);
     CHECK(changes[0].cause == EjectionCause::Unreachable);
-    CHECK(changes[0].until == start + 1s);
+    CHECK(changes[0].ejectedUntil == start + 1s);
     CHECK(countEjected(detector, 2) == 2);
 
     detector.evaluate(start + 1s);
     CHECK(countEjected(detector, 2) == 0);
-    refuse(0, start + 1s);
+    recordRefusal(0, start + 1s);
     recordMany(detector, 1, 1, false, std::nullopt, start + 1s);
     changes = detector.evaluate(start + 1s);
     REQUIRE(changes.size() == 1);
     CHECK(changes[0].endpoint == "e0");
-    CHECK(changes[0].until == start + 3s);
+    CHECK(changes[0].ejectedUntil == start + 3s);
     for (TimePoint now = start + 3s; now < start + 5min; now += 10s) {
         detector.evaluate(now);
         CHECK_FALSE(detector.isEjected("e0"));
-        refuse(0, now);
+        recordRefusal(0, now);
         changes = detector.evaluate(now);
         REQUIRE(changes.size() == 1);
-        CHECK(changes[0].until <= now + 10s);
+        CHECK(changes[0].ejectedUntil <= now + 10s);
     }
 }
 
@@ -107,23 +107,23 @@
 {
     OutlierDetector detector = makeDetector(6);
     TimePoint now = start;
-    std::vector<Duration> lengths;
+    std::vector<Duration> durations;
     for (int round = 0; round < 8; ++round) {
         recordMany(detector, 0, 5, true, std::nullopt, now);
         std::vector<EjectionChange> changes = detector.evaluate(now);
         REQUIRE(changes.size() == 1);
-        lengths.push_back(changes[0].until - now);
-        now = changes[0].until;
+        durations.push_back(changes[0].ejectedUntil - now);
+        now = changes[0].ejectedUntil;
         detector.evaluate(now);
     }
-    CHECK(lengths[0] == 10s);
-    CHECK(lengths[1] == 20s);
-    CHECK(lengths[2] == 40s);
-    CHECK(lengths[7] == 5min);
+    CHECK(durations[0] == 10s);
+    CHECK(durations[1] == 20s);
+    CHECK(durations[2] == 40s);
+    CHECK(durations[7] == 5min);
     for (int i = 0; i < 10; ++i)
         detector.evaluate(now += 2min);
     recordMany(detector, 0, 5, true, std::nullopt, now);
-    CHECK(detector.evaluate(now)[0].until == now + 10s);
+    CHECK(detector.evaluate(now)[0].ejectedUntil == now + 10s);
 }
 
 TEST_CASE("a high error rate and a latency far above the peers' median eject an endpoint")
@@ -168,7 +168,7 @@
     constexpr std::uint64_t seed = 808;
     CAPTURE(seed);
     Random random(seed);
-    int mostOut = 0;
+    int maxEjected = 0;
     for (int round = 0; round < 200; ++round) {
         auto size = static_cast<int>(1 + random.below(20));
         OutlierDetector detector = makeDetector(size);
@@ -177,10 +177,10 @@
             auto endpoint = static_cast<int>(random.below(static_cast<std::uint64_t>(size)));
             recordMany(detector, endpoint, static_cast<int>(random.below(8)), random.below(2) == 0, random.below(500) * 1ms, now);
             detector.evaluate(now);
-            int out = countEjected(detector, size);
-            REQUIRE(out <= 0.34 * size);
-            mostOut = std::max(mostOut, out);
+            int ejected = countEjected(detector, size);
+            REQUIRE(ejected <= 0.34 * size);
+            maxEjected = std::max(maxEjected, ejected);
         }
     }
-    CHECK(mostOut >= 3);
+    CHECK(maxEjected >= 3);
 }
--- a/unittests/Routing/PlacementTest.cpp
+++ b/unittests/Routing/PlacementTest.cpp
@@ -44,7 +44,7 @@
 }
 
 /// Requires that an endpoint is chosen at \c start, and returns its handle.
-static EndpointHandle chosen(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, Random& random, const RoutingPolicy& policy = {})
+static EndpointHandle chooseHandle(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, Random& random, const RoutingPolicy& policy = {})
 {
     PlacementResult result = choosePlacement(request, cell, prefixes, policy, random, start);
     REQUIRE(std::holds_alternative<Placement>(result));
@@ -64,9 +64,9 @@
     for (std::size_t i = 0; i < 60; ++i)
         request.prefixHashes[i] = i + 1;
     prefixes.recordDispatch(2, request.prefixHashes);
-    CHECK(chosen(request, cell, prefixes, random) == 2);
+    CHECK(chooseHandle(request, cell, prefixes, random) == 2);
     cell.recordReport(2, { start, 10, 0, 8000 });
-    CHECK(chosen(request, cell, prefixes, random) != 2);
+    CHECK(chooseHandle(request, cell, prefixes, random) != 2);
 }
 
 TEST_CASE("own dispatches after a load report count before the next report")
@@ -75,9 +75,9 @@
     CellView cell = makeCell(2);
     cell.recordReport(0, { start - 1s, 4, 0, 0 });
     cell.recordReport(1, { start - 1s, 4, 0, 3000 });
-    REQUIRE(chosen(makeRequest(), cell, {}, random) <= 1);
+    REQUIRE(chooseHandle(makeRequest(), cell, {}, random) <= 1);
     cell.recordDispatch(0, 9000, start - 500ms);
-    CHECK(chosen(makeRequest(), cell, {}, random) == 1);
+    CHECK(chooseHandle(makeRequest(), cell, {}, random) == 1);
 }
 
 TEST_CASE("endpoints with the adapter loaded are preferred, and those in slow start avoided")
@@ -87,11 +87,11 @@
     cell.modify(1, [](EndpointView& view) { view.adapters = { "x", "a" }; });
     RoutingRequest request = makeRequest();
     request.adapter = "a";
-    CHECK(chosen(request, cell, {}, random) == 1);
+    CHECK(chooseHandle(request, cell, {}, random) == 1);
     request.adapter.clear();
     cell.modify(2, [](EndpointView& view) { view.slowStartWeight = 0.2; });
     for (int i = 0; i < 50; ++i)
-        CHECK(chosen(request, cell, {}, random) != 2);
+        CHECK(chooseHandle(request, cell, {}, random) != 2);
 }
 
 TEST_CASE("each reason for no placement is reported")
@@ -161,7 +161,7 @@
         cell.recordReport(static_cast<EndpointHandle>(i), { start - 2s, 4, 0, 20000.0 + 40 * i });
     std::map<EndpointHandle, int> picks;
     for (int entry = 0; entry < 20; ++entry)
-        picks[chosen(makeRequest(), cell, {}, random)] += 1;
+        picks[chooseHandle(makeRequest(), cell, {}, random)] += 1;
     CHECK(picks.size() >= 5);
     for (const auto& [endpoint, count] : picks)
         CHECK(count <= 6);
@@ -173,7 +173,7 @@
     CellView cell = makeCell(100);
     std::set<EndpointHandle> seen;
     for (int i = 0; i < 2000; ++i)
-        seen.insert(chosen(makeRequest(), cell, {}, random));
+        seen.insert(chooseHandle(makeRequest(), cell, {}, random));
     CHECK(seen.size() == 100);
 }
 
@@ -186,7 +186,7 @@
     request.prefixHashes = { 11, 12, 13, 14, 15, 16, 17, 18, 19, 20 };
     prefixes.recordDispatch(321, request.prefixHashes);
     for (int i = 0; i < 20; ++i)
-        CHECK(chosen(request, cell, prefixes, random) == 321);
+        CHECK(chooseHandle(request, cell, prefixes, random) == 321);
 }
 
 TEST_CASE("round robin chooses the endpoints in turn and skips closed ones")
@@ -200,7 +200,7 @@
     for (std::uint64_t sequence = 0; sequence < 6; ++sequence) {
         RoutingRequest request = makeRequest();
         request.sequence = sequence;
-        order.push_back(chosen(request, cell, {}, random, policy));
+        order.push_back(chooseHandle(request, cell, {}, random, policy));
     }
     CHECK(order == std::vector<EndpointHandle> { 0, 2, 2, 0, 2, 2 });
 }
@@ -213,11 +213,11 @@
         cell.modify(i, [i](EndpointView& view) { view.ownInFlight = 9 - i; });
     RoutingPolicy policy;
     policy.algorithm = RoutingAlgorithm::LeastInFlight;
-    CHECK(chosen(makeRequest(), cell, {}, random, policy) == 9);
+    CHECK(chooseHandle(makeRequest(), cell, {}, random, policy) == 9);
     policy.algorithm = RoutingAlgorithm::PowerOfTwoChoices;
     std::map<EndpointHandle, int> picks;
     for (int i = 0; i < 2000; ++i)
-        picks[chosen(makeRequest(), cell, {}, random, policy)] += 1;
+        picks[chooseHandle(makeRequest(), cell, {}, random, policy)] += 1;
     CHECK(picks.count(0) == 0);
     CHECK(picks[9] > 300);
 }
--- a/unittests/Routing/PrefixIndexTest.cpp
+++ b/unittests/Routing/PrefixIndexTest.cpp
@@ -24,7 +24,7 @@
     return 0;
 }
 
-static CacheEvent stored(std::uint64_t sequence, Hashes hashes)
+static CacheEvent storedEvent(std::uint64_t sequence, Hashes hashes)
 {
     return { "a", sequence, CacheEventKind::Stored, std::move(hashes), std::nullopt };
 }
@@ -45,7 +45,7 @@
     Hashes prompt = makeHashes(4);
     index.recordDispatch(3, prompt);
     CHECK(tokensAt(index, 3, prompt) == Approx(32));
-    index.applyEvent(3, stored(1, prompt));
+    index.applyEvent(3, storedEvent(1, prompt));
     CHECK(tokensAt(index, 3, prompt) == Approx(40));
     index.recordDispatch(3, prompt);
     CHECK(tokensAt(index, 3, prompt) == Approx(40));
@@ -58,7 +58,7 @@
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(256);
     for (std::size_t length = 1; length <= 256; ++length) {
-        CacheEvent event = stored(length, Hashes(prompt.begin(), prompt.begin() + static_cast<std::ptrdiff_t>(length)));
+        CacheEvent event = storedEvent(length, Hashes(prompt.begin(), prompt.begin() + static_cast<std::ptrdiff_t>(length)));
         event.firstBlock = 0;
         index.applyEvent(0, event);
         double exact = 10.0 * static_cast<double>(length);
@@ -69,7 +69,7 @@
     PrefixIndex dispatched(testPolicy());
     dispatched.recordDispatch(0, prompt);
     CHECK(dispatched.size() == keptDepths);
-    CacheEvent tail = stored(1, Hashes(prompt.begin() + 200, prompt.end()));
+    CacheEvent tail = storedEvent(1, Hashes(prompt.begin() + 200, prompt.end()));
     tail.firstBlock = 200;
     dispatched.applyEvent(0, tail);
     CHECK(dispatched.size() == keptDepths);
@@ -79,9 +79,9 @@
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
-    index.applyEvent(0, stored(1, prompt));
-    index.applyEvent(1, stored(1, Hashes(prompt.begin(), prompt.begin() + 2)));
-    index.applyEvent(2, stored(1, makeHashes(4, 1000)));
+    index.applyEvent(0, storedEvent(1, prompt));
+    index.applyEvent(1, storedEvent(1, Hashes(prompt.begin(), prompt.begin() + 2)));
+    index.applyEvent(2, storedEvent(1, makeHashes(4, 1000)));
     CHECK(index.cachedTokens(prompt).size() == 2);
     CHECK(tokensAt(index, 0, prompt) == Approx(40));
     CHECK(tokensAt(index, 1, prompt) == Approx(20));
@@ -92,15 +92,15 @@
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
     Hashes other = makeHashes(2, 500);
-    index.applyEvent(0, stored(1, prompt));
-    index.applyEvent(1, stored(1, prompt));
-    index.applyEvent(0, stored(3, other));
+    index.applyEvent(0, storedEvent(1, prompt));
+    index.applyEvent(1, storedEvent(1, prompt));
+    index.applyEvent(0, storedEvent(3, other));
     CHECK(tokensAt(index, 0, prompt) == Approx(20));
     CHECK(tokensAt(index, 0, other) == Approx(20));
     CHECK(tokensAt(index, 1, prompt) == Approx(40));
-    index.applyEvent(0, stored(7, other));
+    index.applyEvent(0, storedEvent(7, other));
     CHECK(tokensAt(index, 0, prompt) == Approx(10));
-    index.applyEvent(0, stored(8, prompt));
+    index.applyEvent(0, storedEvent(8, prompt));
     CHECK(tokensAt(index, 0, prompt) == Approx(40));
 }
 
@@ -108,9 +108,9 @@
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(2);
-    index.applyEvent(0, stored(4, prompt));
+    index.applyEvent(0, storedEvent(4, prompt));
     index.applyEvent(0, { "a", 5, CacheEventKind::Evicted, prompt, {} });
-    index.applyEvent(0, stored(4, prompt));
+    index.applyEvent(0, storedEvent(4, prompt));
     CHECK(tokensAt(index, 0, prompt) == 0);
     CHECK(index.size() == 0);
 }
@@ -119,8 +119,8 @@
 {
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
-    index.applyEvent(0, stored(1, prompt));
-    index.applyEvent(1, stored(1, prompt));
+    index.applyEvent(0, storedEvent(1, prompt));
+    index.applyEvent(1, storedEvent(1, prompt));
     index.applyEvent(0, { "a", 2, CacheEventKind::Evicted, { prompt[2], prompt[3] }, {} });
     CHECK(tokensAt(index, 0, prompt) == Approx(20));
     index.applyEvent(0, { "a", 3, CacheEventKind::Cleared, {}, {} });
@@ -133,10 +133,10 @@
     PrefixIndex index(testPolicy());
     Hashes prompt = makeHashes(4);
     index.setIncarnation(0, "a");
-    index.applyEvent(0, stored(9, prompt));
+    index.applyEvent(0, storedEvent(9, prompt));
     index.setIncarnation(0, "b");
     CHECK(tokensAt(index, 0, prompt) == 0);
-    index.applyEvent(0, stored(10, prompt));
+    index.applyEvent(0, storedEvent(10, prompt));
     CHECK(tokensAt(index, 0, prompt) == 0);
     index.applyEvent(0, { "b", 1, CacheEventKind::Stored, prompt, {} });
     CHECK(tokensAt(index, 0, prompt) == Approx(40));
--- a/unittests/Routing/ResidencyFilterTest.cpp
+++ b/unittests/Routing/ResidencyFilterTest.cpp
@@ -6,7 +6,7 @@
 
 TEST_CASE("a default residency allows no region")
 {
-    CHECK(allowsNowhere(Residency()));
+    CHECK(allowsNoRegion(Residency()));
     CHECK_FALSE(isAllowed(Residency(), "caldas"));
     CHECK_FALSE(isAllowed(Residency(), ""));
 }
@@ -28,8 +28,8 @@
     CHECK(stricterOf(two, one) == Residency::within({ "valle" }));
     CHECK(stricterOf(two, Residency::unrestricted()) == two);
     CHECK(stricterOf(Residency::unrestricted(), two) == two);
-    CHECK(allowsNowhere(stricterOf(two, Residency::within({ "perth" }))));
-    CHECK(allowsNowhere(stricterOf(Residency::unrestricted(), Residency())));
+    CHECK(allowsNoRegion(stricterOf(two, Residency::within({ "perth" }))));
+    CHECK(allowsNoRegion(stricterOf(Residency::unrestricted(), Residency())));
     CHECK(stricterOf(Residency::unrestricted(), Residency::unrestricted()).anywhere);
 }
 
