--- a/unittests/Routing/PlacementTest.cpp
+++ b/unittests/Routing/PlacementTest.cpp
@@ -43,8 +43,8 @@
     return std::get<NoPlacement>(result).reason;
 }
 
-/// Chooses with the defaults and returns the endpoint's number.
-static EndpointHandle chosen(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, Random& random, const RoutingPolicy& policy = {})
+/// Requires that an endpoint is chosen at \c start, and returns its handle.
+static EndpointHandle chooseHandle(const RoutingRequest& request, const CellView& cell, const PrefixIndex& prefixes, Random& random, const RoutingPolicy& policy = {})
 {
     PlacementResult result = choosePlacement(request, cell, prefixes, policy, random, start);
     REQUIRE(std::holds_alternative<Placement>(result));
@@ -54,7 +54,7 @@
 static const RoutingAlgorithm allAlgorithms[] = { RoutingAlgorithm::PredictedTimeToFirstToken, RoutingAlgorithm::RoundRobin,
     RoutingAlgorithm::LeastInFlight, RoutingAlgorithm::PowerOfTwoChoices };
 
-TEST_CASE("the endpoint that holds the prompt is chosen until its queue outweighs it")
+TEST_CASE("the endpoint that has the prompt cached is chosen until its queue costs more than the hit saves")
 {
     Random random(1);
     CellView cell = makeCell(5);
@@ -64,37 +64,37 @@
     for (std::size_t i = 0; i < 60; ++i)
         request.prefixHashes[i] = i + 1;
     prefixes.recordDispatch(2, request.prefixHashes);
-    CHECK(chosen(request, cell, prefixes, random) == 2);
+    CHECK(chooseHandle(request, cell, prefixes, random) == 2);
     cell.recordReport(2, { start, 10, 0, 8000 });
-    CHECK(chosen(request, cell, prefixes, random) != 2);
+    CHECK(chooseHandle(request, cell, prefixes, random) != 2);
 }
 
-TEST_CASE("own dispatches after a report count before the next one")
+TEST_CASE("own dispatches after a load report count before the next report")
 {
     Random random(2);
     CellView cell = makeCell(2);
     cell.recordReport(0, { start - 1s, 4, 0, 0 });
     cell.recordReport(1, { start - 1s, 4, 0, 3000 });
-    REQUIRE(chosen(makeRequest(), cell, {}, random) <= 1);
+    REQUIRE(chooseHandle(makeRequest(), cell, {}, random) <= 1);
     cell.recordDispatch(0, 9000, start - 500ms);
-    CHECK(chosen(makeRequest(), cell, {}, random) == 1);
+    CHECK(chooseHandle(makeRequest(), cell, {}, random) == 1);
 }
 
-TEST_CASE("an adapter that is loaded attracts, and slow start repels")
+TEST_CASE("endpoints with the adapter loaded are preferred, and those in slow start avoided")
 {
     Random random(3);
     CellView cell = makeCell(4);
     cell.modify(1, [](EndpointView& view) { view.adapters = { "x", "a" }; });
     RoutingRequest request = makeRequest();
     request.adapter = "a";
-    CHECK(chosen(request, cell, {}, random) == 1);
+    CHECK(chooseHandle(request, cell, {}, random) == 1);
     request.adapter.clear();
     cell.modify(2, [](EndpointView& view) { view.slowStartWeight = 0.2; });
     for (int i = 0; i < 50; ++i)
-        CHECK(chosen(request, cell, {}, random) != 2);
+        CHECK(chooseHandle(request, cell, {}, random) != 2);
 }
 
-TEST_CASE("each reason to place nowhere is told apart")
+TEST_CASE("each reason for no placement is reported")
 {
     Random random(4);
     CellView cell = makeCell(2);
@@ -116,7 +116,7 @@
     CHECK(reasonOf(place(request)) == NoPlacementReason::OutsideResidency);
 }
 
-TEST_CASE("no algorithm ever places outside the residency or at a closed endpoint")
+TEST_CASE("no algorithm chooses an endpoint that is outside the residency, not open or already tried")
 {
     constexpr std::uint64_t seed = 4711;
     CAPTURE(seed);
@@ -151,7 +151,7 @@
     }
 }
 
-TEST_CASE("entries with the same old view don't all pick one endpoint")
+TEST_CASE("entries with the same outdated view choose different endpoints")
 {
     constexpr std::uint64_t seed = 99;
     CAPTURE(seed);
@@ -161,23 +161,23 @@
         cell.recordReport(static_cast<EndpointHandle>(i), { start - 2s, 4, 0, 20000.0 + 40 * i });
     std::map<EndpointHandle, int> picks;
     for (int entry = 0; entry < 20; ++entry)
-        picks[chosen(makeRequest(), cell, {}, random)] += 1;
+        picks[chooseHandle(makeRequest(), cell, {}, random)] += 1;
     CHECK(picks.size() >= 5);
     for (const auto& [endpoint, count] : picks)
         CHECK(count <= 6);
 }
 
-TEST_CASE("the choice among equal endpoints reaches each of them, in a sample too")
+TEST_CASE("the choice among equal endpoints reaches all of them, also by sampling")
 {
     Random random(5);
     CellView cell = makeCell(100);
     std::set<EndpointHandle> seen;
     for (int i = 0; i < 2000; ++i)
-        seen.insert(chosen(makeRequest(), cell, {}, random));
+        seen.insert(chooseHandle(makeRequest(), cell, {}, random));
     CHECK(seen.size() == 100);
 }
 
-TEST_CASE("a sample always includes the endpoint that holds the prompt")
+TEST_CASE("a sample always includes the endpoint that has the prompt cached")
 {
     Random random(6);
     CellView cell = makeCell(500);
@@ -186,10 +186,10 @@
     request.prefixHashes = { 11, 12, 13, 14, 15, 16, 17, 18, 19, 20 };
     prefixes.recordDispatch(321, request.prefixHashes);
     for (int i = 0; i < 20; ++i)
-        CHECK(chosen(request, cell, prefixes, random) == 321);
+        CHECK(chooseHandle(request, cell, prefixes, random) == 321);
 }
 
-TEST_CASE("round robin takes each in turn and steps over the closed")
+TEST_CASE("round robin chooses the endpoints in turn and skips closed ones")
 {
     Random random(7);
     CellView cell = makeCell(3);
@@ -200,12 +200,12 @@
     for (std::uint64_t sequence = 0; sequence < 6; ++sequence) {
         RoutingRequest request = makeRequest();
         request.sequence = sequence;
-        order.push_back(chosen(request, cell, {}, random, policy));
+        order.push_back(chooseHandle(request, cell, {}, random, policy));
     }
     CHECK(order == std::vector<EndpointHandle> { 0, 2, 2, 0, 2, 2 });
 }
 
-TEST_CASE("least in flight takes the least, and two choices rarely the most")
+TEST_CASE("least in flight chooses the least loaded endpoint, and power of two choices never the most loaded")
 {
     Random random(8);
     CellView cell = makeCell(10);
@@ -213,16 +213,16 @@
         cell.modify(i, [i](EndpointView& view) { view.ownInFlight = 9 - i; });
     RoutingPolicy policy;
     policy.algorithm = RoutingAlgorithm::LeastInFlight;
-    CHECK(chosen(makeRequest(), cell, {}, random, policy) == 9);
+    CHECK(chooseHandle(makeRequest(), cell, {}, random, policy) == 9);
     policy.algorithm = RoutingAlgorithm::PowerOfTwoChoices;
     std::map<EndpointHandle, int> picks;
     for (int i = 0; i < 2000; ++i)
-        picks[chosen(makeRequest(), cell, {}, random, policy)] += 1;
+        picks[chooseHandle(makeRequest(), cell, {}, random, policy)] += 1;
     CHECK(picks.count(0) == 0);
     CHECK(picks[9] > 300);
 }
 
-TEST_CASE("the explanation names the choice, the terms and the exclusions")
+TEST_CASE("the explanation contains the choice, the cost terms and the exclusions")
 {
     CellView cell = makeCell(4);
     cell.recordReport(1, { start, 4, 0, 5000 });
@@ -242,7 +242,7 @@
     CHECK(std::get<Placement>(result).predictedTimeToFirstToken == explanation.candidates[0].terms.total);
 }
 
-TEST_CASE("the explanation of a request from outside shows no endpoint")
+TEST_CASE("the explanation of a request that residency forbids lists no endpoint")
 {
     RoutingRequest request = makeRequest();
     request.residency = Residency();
