--- a/unittests/Ingress/RelayedStoreTest.cpp
+++ b/unittests/Ingress/RelayedStoreTest.cpp
@@ -13,7 +13,7 @@
 
 struct PeerNetwork;
 
-/// An entry with its own view of the store, reached by the others through a PeerNetwork.
+/// An entry with its own store client, which other entries reach through a PeerNetwork.
 struct RelayEntry {
     RelayEntry(FakeStore& shared, ManualScheduler& scheduler, HttpClient& peers, RelayChoice choice)
         : direct(shared.clientOn(scheduler))
@@ -45,7 +45,7 @@
     int ends { 0 };
 };
 
-/// Carries questions between entries by the port of their address.
+/// Delivers requests between entries; the port of an address is the index of the entry.
 struct PeerNetwork final : HttpClient {
     struct Exchange final : HttpExchange {
         void cancel() override { isCancelled = true; }
@@ -104,7 +104,7 @@
     bool isSilent { false };
 };
 
-/// Two entries; the second one asks the first.
+/// Two entries, of which the second uses the first as its relay.
 struct RelayWorld {
     RelayWorld()
     {
@@ -148,7 +148,7 @@
 
 } // namespace
 
-TEST_CASE("news reaches an entry through its relay, in order and once")
+TEST_CASE("changes reach an entry through its relay in order and once")
 {
     RelayWorld world;
     for (int i = 0; i < 20; ++i) {
@@ -163,7 +163,7 @@
     CHECK(world.failures == 0);
 }
 
-TEST_CASE("an entry whose relay is gone or silent turns to the store within its wait, and back later")
+TEST_CASE("an entry whose relay is unreachable or unresponsive watches the store directly in time, and uses the relay again later")
 {
     for (bool isSilent : { false, true }) {
         RelayWorld world;
@@ -184,7 +184,7 @@
     }
 }
 
-TEST_CASE("an entry that starts while the store is away begins with what another one knows")
+TEST_CASE("an entry that starts while the store is unreachable fetches all keys from another entry")
 {
     RelayWorld world;
     world.shared.put("key", "value");
@@ -201,7 +201,7 @@
     REQUIRE(listing->ok());
     CHECK((*listing)->values.size() == 1);
     CHECK((*listing)->values[0].value == "value");
-    // It knows something now, and asks the store alone.
+    // The entry has data now, so the next listing asks only the store.
     int questions = world.network.questions;
     late.store.list("", [&](const absl::StatusOr<StoreListing>& listed) { listing = listed; });
     world.scheduler.advance(3s);
@@ -209,8 +209,8 @@
     CHECK(world.network.questions == questions);
 }
 
-// What another entry knows may be as old as its own last word from the store.
-TEST_CASE("an entry that begins with what another one knows has not reached the store by that")
+// The data of another entry may be as old as the store's last answer to that entry.
+TEST_CASE("data fetched from another entry does not count as reaching the store")
 {
     RelayWorld world;
     world.shared.put("key", "value");
@@ -237,7 +237,7 @@
     CHECK(late.store.age() < 2s);
 }
 
-TEST_CASE("a relay that has lost the store sends its followers to the store")
+TEST_CASE("the followers of a relay that lost its store watch watch the store directly")
 {
     RelayWorld world;
     world.relay.watch.reset();
@@ -249,9 +249,8 @@
     CHECK(world.follower.seen == std::vector<std::string> { "key" });
 }
 
-// The source of configuration drops its broken watch only after it has opened
-// the next one.
-TEST_CASE("a relay whose watch broke and was opened again goes on relaying")
+// ConfigSource closes a broken watch only after it has opened the next one.
+TEST_CASE("a relay whose watch broke and was opened again remains a relay")
 {
     RelayWorld world;
     for (int i = 0; i < 5; ++i) {
@@ -270,14 +269,14 @@
     CHECK(world.follower.store.isDirect());
 }
 
-TEST_CASE("after a compaction the followers of a relay learn from it what the lost events would have told")
+TEST_CASE("after a compaction the followers of a relay receive the net effect of the lost events from it")
 {
     RelayWorld world;
     world.shared.put("stays", "1");
     world.shared.put("goes", "1");
     world.scheduler.advance(100ms);
     std::size_t reads = world.shared.calls(StoreCallGroup::Read);
-    // The relay hears nothing of these, and its watch ends.
+    // The relay's watch is closed, so it misses these changes.
     world.relay.watch.reset();
     world.shared.put("stays", "2");
     world.shared.erase("goes");
@@ -289,13 +288,14 @@
     CHECK(world.troubles > 0);
     CHECK_FALSE(world.follower.store.isDirect());
     CHECK(world.follower.ends == 0);
-    // One listing and one watch, both the relay's.
+    // One listing and one watch, both by the relay.
     CHECK(world.shared.calls(StoreCallGroup::Read) == reads + 2);
 }
 
-// What the relay missed may have come and gone, and then no change names the
-// revision that the answer reaches.
-TEST_CASE("a follower is told once of a revision that no change is left of")
+// If a key was created and deleted in the relay's gap, no change in the answer has the
+// answer's own revision. The follower must still advance to it, or it would repeat
+// its request at once, without end.
+TEST_CASE("a follower does not repeat its request for a revision without remaining changes")
 {
     RelayWorld world;
     world.shared.put("stays", "1");
@@ -312,7 +312,7 @@
     CHECK_FALSE(world.follower.store.isDirect());
 }
 
-TEST_CASE("a relay that is about to stop sends its followers away at once")
+TEST_CASE("the followers of a relay that stops relaying watch the store directly at once")
 {
     RelayWorld world;
     world.relay.store.stopRelaying();
@@ -320,7 +320,7 @@
     CHECK(world.follower.store.isDirect());
 }
 
-TEST_CASE("an entry that knows more than its relay, or less than it remembers, loses nothing")
+TEST_CASE("a mirror refuses a revision before its oldest change and answers a later one than its own with no changes")
 {
     RelayWorld world;
     StoreMirror mirror(4);
@@ -344,7 +344,7 @@
     CHECK(everything->changes[0].key == "b");
 }
 
-TEST_CASE("a mirror that is listed again tells the differences, and events from before count no more")
+TEST_CASE("a mirror that receives another listing returns the differences and ignores earlier events")
 {
     StoreMirror mirror;
     mirror.takeListing({ { { "a", "1", 9 }, { "b", "1", 10 } }, 10 });
@@ -362,7 +362,7 @@
     CHECK(changes->changes[2].isDeletion);
     CHECK(changes->changes[2].revision == 20);
     CHECK_FALSE(mirror.changesAfter(9));
-    // A watch that went on elsewhere brings what the listing has overtaken.
+    // Event from a resumed watch that is older than the listing, and an old listing.
     mirror.takeEvents({ { false, { "b", "1", 18 } } });
     mirror.takeListing({ {}, 15 });
     CHECK(mirror.changesAfter(0)->changes.size() == 2);
@@ -370,18 +370,18 @@
     CHECK_FALSE(mirror.changesAfter(20)->spansListing);
 }
 
-TEST_CASE("a mirror that has missed a part tells nothing to an entry that knows a part of that part")
+TEST_CASE("a mirror with a gap in its history refuses a revision inside the gap")
 {
     StoreMirror mirror;
     mirror.takeListing({ { { "a", "1", 9 } }, 10 });
-    // "b" came at 13 and went at 16; the mirror has seen neither.
+    // "b" was created at 13 and deleted at 16; the mirror received neither event.
     mirror.takeListing({ { { "a", "2", 18 } }, 20 });
     CHECK(mirror.changesAfter(10));
     CHECK_FALSE(mirror.changesAfter(11));
     CHECK_FALSE(mirror.changesAfter(13));
     CHECK_FALSE(mirror.changesAfter(19));
     CHECK(mirror.changesAfter(20));
-    // A second part that is missed doesn't make the first one known.
+    // A second gap doesn't make the first one known.
     mirror.takeEvents({ { false, { "c", "1", 22 } } });
     mirror.takeListing({ { { "a", "2", 18 } }, 30 });
     CHECK_FALSE(mirror.changesAfter(13));
--- a/unittests/Ingress/StoreFollowerTest.cpp
+++ b/unittests/Ingress/StoreFollowerTest.cpp
@@ -1,4 +1,4 @@
-// What an entry believes of the store, over every order of short troubles.
+// Checks an entry's view of the store over all sequences of short faults.
 #include "StoreFollower.h"
 
 #include "Coordination/FakeStore.h"
@@ -31,7 +31,7 @@
     if (absl::SimpleAtoi(text, &version))
         result.document = RouteTable(version, {}, {}, {});
     else
-        result.faults.push_back({ "", "expected a version" });
+        result.faults.push_back({ "", "expected an integer version" });
     return result;
 }
 
@@ -45,7 +45,7 @@
     return record;
 }
 
-/// The store, and what operators and endpoints have written into it.
+/// The store, and the state that operators and endpoints have written to it.
 class WrittenStore {
 public:
     explicit WrittenStore(ManualScheduler& scheduler)
@@ -59,7 +59,7 @@
     {
         switch (step) {
         case Step::WriteConfiguration:
-            // Versions rise in uneven steps.
+            // Versions increase by 1 to 3.
             version += version % 3 + 1;
             store.put("configuration", std::to_string(version));
             break;
@@ -104,7 +104,7 @@
     int m_removed { 0 };
 };
 
-/// An entry's view of the store.
+/// The tables of an entry, updated from the store.
 class FollowedTables {
 public:
     FollowedTables()
@@ -121,7 +121,7 @@
     std::unique_ptr<Store> client { written.store.clientOn(fixture.scheduler) };
 };
 
-/// The follower that entries run.
+/// The StoreFollower that entries use.
 class Follower {
 public:
     explicit Follower(FollowedTables& tables)
@@ -135,8 +135,8 @@
     StoreFollower m_follower;
 };
 
-/// A follower with a fault: where its watch is out of range it goes on from the
-/// present, and never learns what it missed.
+/// A follower with a fault: if its watch is out of range, it resumes at the current
+/// revision and never receives the missed changes.
 class ForgetfulFollower {
 public:
     explicit ForgetfulFollower(FollowedTables& tables)
@@ -192,7 +192,8 @@
     std::unique_ptr<StoreWatch> m_watch;
 };
 
-/// Lets time pass and looks at each moment; returns what is wrong.
+/// Advances time by \p span and checks the version every 50 ms; returns the fault found,
+/// or an empty string.
 template <typename AnyFollower>
 std::string pass(FollowedTables& tables, AnyFollower& follower, Duration span)
 {
@@ -202,14 +203,15 @@
         tables.fixture.scheduler.advance(moment);
         follower.houseKeep();
         if (tables.version() < before)
-            return "a version fell";
+            return "the version in force decreased";
         if (tables.version() > tables.written.version)
-            return "a version that was never written";
+            return "the version in force was never written";
     }
     return "";
 }
 
-/// Takes the steps and then leaves the store well for \p span; returns what is wrong.
+/// Applies the steps, removes all faults and advances time by \p span; returns the fault
+/// found, or an empty string.
 template <typename AnyFollower>
 std::string play(const std::vector<Step>& steps, Duration span)
 {
@@ -227,8 +229,8 @@
     if (!fault.empty())
         return fault;
     if (tables.version() != tables.written.version)
-        return "the newest version is not in force";
-    return tables.endpoints() == tables.written.endpoints ? "" : "the endpoints aren't those of the store";
+        return "the latest version is not in force";
+    return tables.endpoints() == tables.written.endpoints ? "" : "the number of endpoints differs from the store's";
 }
 
 template <typename AnyFollower>
@@ -256,33 +258,33 @@
 
 } // namespace
 
-TEST_CASE("over every order of three troubles and changes versions only rise and the store is caught up with")
+TEST_CASE("over all sequences of three faults and changes versions only increase and the tables reach the state of the store")
 {
     CHECK(countFaulty<Follower>(3) == 0);
 }
 
-TEST_CASE("the check finds a follower that skips what it missed")
+TEST_CASE("the check detects a follower that skips missed changes")
 {
     CHECK(countFaulty<ForgetfulFollower>(3) > 0);
 }
 
-TEST_CASE("over long seeded orders of troubles and changes the store is caught up with")
+TEST_CASE("over long seeded sequences of faults and changes the tables reach the state of the store")
 {
     Random random(11);
     for (int schedule = 0; schedule < 60; ++schedule) {
         std::vector<Step> steps(30);
         for (Step& step : steps)
             step = static_cast<Step>(random.below(stepKinds));
-        // Each answer that is still to be lost takes a call's timeout and a pause.
+        // Each answer that is still to be lost takes a call timeout and a retry delay.
         std::string fault = play<Follower>(steps, 40s);
         CAPTURE(schedule, fault);
         CHECK(fault.empty());
     }
 }
 
-// Registrations lapse while the store is away; the endpoints behind them write
-// themselves again within two seconds of its return.
-TEST_CASE("an endpoint whose registration lapsed in an outage is kept while it may come back, and no longer")
+// Registrations expire while the store is unreachable. Running endpoints register again
+// within two seconds of its recovery.
+TEST_CASE("an endpoint whose registration expired in an outage is kept for the grace period and no longer")
 {
     for (bool isCompacted : { false, true }) {
         FollowedTables tables;
@@ -304,7 +306,7 @@
         tables.written.store.put("endpoints/first", "");
         CHECK(pass(tables, follower, 2'500ms).empty());
         CHECK(tables.endpoints() == 1);
-        // The store is calm: what vanishes now has gone.
+        // The store is stable again: a deleted registration is removed at once.
         tables.written.store.erase("endpoints/first");
         CHECK(pass(tables, follower, 300ms).empty());
         CHECK(tables.endpoints() == 0);
--- a/unittests/Ingress/StoreFreshnessTest.cpp
+++ b/unittests/Ingress/StoreFreshnessTest.cpp
@@ -1,5 +1,5 @@
-// Requests reached an endpoint seconds after the store had acknowledged that it
-// leaves, at entries that had every means to know it.
+// Guards against entries that send requests to an endpoint seconds after the store has
+// acknowledged that the endpoint is leaving.
 #include "StoreZone.h"
 
 #include <catch2/catch.hpp>
@@ -9,18 +9,19 @@
 
 namespace {
 
-/// An entry without trouble sends nothing more to an endpoint that leaves after this.
+/// A healthy entry sends no request to a leaving endpoint after this time.
 constexpr Duration leavingBound = 3s;
-/// After trouble of its own an entry has this long until the bounds hold again.
+/// Time that an entry has to recover from a fault before the bounds hold again.
 constexpr Duration calmBound = 5s;
 
-/// How an endpoint goes while an entry can't hear of it.
+/// How an endpoint leaves while an entry can't receive changes.
 struct Departure {
     bool isAnnounced;
     bool isHistoryForgotten;
 };
 
-/// Returns for how long after its return an entry uses an endpoint that has left.
+/// Returns for how long an entry still uses a departed endpoint after the entry's fault
+/// has ended.
 Duration usedAfterCut(EntryFault fault, Duration cut, Departure departure)
 {
     StoreZone zone(1);
@@ -57,16 +58,14 @@
 
 } // namespace
 
-// Seen: an entry that had been cut off from the store for 13 s sent a request to an
-// endpoint that had left meanwhile, five seconds after the cut had ended. How: its
-// watch was out of range, and before the listing that this asks for it paused as
-// after a failure, for up to 2 s; the endpoint was not in the listing and was kept
-// for 2.3 s more, since its registration might only have lapsed. Cause: the time that an
-// entry takes to be back was the sum of pauses that each counted from the one
-// before, instead of from the store's return. Proof: the counters of the entry
-// show the second listing up to 2 s after the failed watch, and the requests ended
-// two to three seconds after the listing; these schedules went over the bound.
-TEST_CASE("an entry that was cut off from the store uses no endpoint that left for longer than it may take to be back")
+// Guards against an entry that sent a request to a departed endpoint five seconds after
+// a 13 s partition from the store had ended. Its watch was out of range, and it waited
+// up to 2 s, as after a failure, before the listing that this requires. The endpoint was
+// missing in the listing and was kept for another 2.3 s, since its registration might
+// only have expired. The delays added up, because each started at the end of the one
+// before and not at the store's recovery. Requests ended two to three seconds after the
+// listing, and these schedules exceeded the bound.
+TEST_CASE("an entry that was partitioned from the store stops using departed endpoints within its recovery time")
 {
     CHECK(longestUsedAfterCut({ true, false }) < calmBound);
     CHECK(longestUsedAfterCut({ false, false }) < calmBound);
@@ -81,8 +80,9 @@
     EntryFault fault;
 };
 
-/// Lays each trouble over the one before, \p apart from each other, and says that an
-/// endpoint leaves \p until later; returns whether every calm entry knows in time.
+/// Injects the faults at intervals of \p apart, each while the earlier ones last, and
+/// marks an endpoint as leaving \p until later. Returns whether every healthy entry stops
+/// using it in time.
 bool isKnownInTime(std::size_t entries, const std::vector<Trouble>& troubles, Duration apart, Duration until)
 {
     StoreZone zone(entries);
@@ -106,15 +106,14 @@
 
 } // namespace
 
-// Seen: an entry that had no trouble sent requests to an endpoint 3.0 s to 3.2 s
-// after it had said that it leaves. How: the entry asks another one of its zone, the
-// relay, for news; the store did not answer the relay, which said "no news" as
-// one does whose watch is sound, and watched anew each time its watch ended.
-// Cause: an answer did not say when the store had last confirmed it, and neither
-// end bounded how old it may be. Proof: the relay's log shows the store lost and
-// reached at one revision in turn, the follower's that it lost its relay only at
-// the end; here every entry in turn is the one in trouble.
-TEST_CASE("an entry without trouble knows in time that an endpoint leaves, whatever befalls another")
+// Guards against a healthy entry that sent requests to an endpoint 3.0 s to 3.2 s after
+// the endpoint had announced that it leaves. The entry requests changes from its relay.
+// The store did not answer the relay, which reopened its watch each time it ended and
+// answered "no changes" as with a working watch. An answer did not hold the time of the
+// store's last confirmation, and neither side limited the age of the data. The relay
+// logged the store as lost and reached in turn at one revision, and the follower logged
+// the loss of its relay only at the end. Each entry in turn has the fault here.
+TEST_CASE("a healthy entry stops using a leaving endpoint in time, whatever fault another entry has")
 {
     for (std::size_t entries = 2; entries <= 4; ++entries) {
         for (std::size_t troubled = 0; troubled < entries; ++troubled) {
@@ -128,7 +127,7 @@
     }
 }
 
-TEST_CASE("an entry without trouble knows in time that an endpoint leaves, whatever befalls two others")
+TEST_CASE("a healthy entry stops using a leaving endpoint in time, whatever faults two other entries have")
 {
     for (std::size_t entries = 3; entries <= 4; ++entries) {
         for (std::size_t pair = 0; pair < entries * entries; ++pair) {
@@ -146,7 +145,7 @@
 
 namespace {
 
-/// Endpoints that leave now and then while entries get into trouble and out of it.
+/// A zone where endpoints leave while entries fail and recover at random.
 class RestlessZone {
 public:
     RestlessZone(std::size_t entries, std::uint64_t seed)
@@ -156,7 +155,8 @@
         m_zone.pass(calmBound + 1s);
     }
 
-    /// Returns false if an entry that had long been calm used an endpoint for too long.
+    /// Returns false if an entry that has been healthy for long used a departed endpoint
+    /// for too long.
     bool step()
     {
         constexpr int kinds = static_cast<int>(EntryFault::Killed) + 1;
@@ -208,20 +208,20 @@
 
     StoreZone m_zone;
     Random m_random;
-    /// When each endpoint left; the last one has not.
+    /// When each endpoint left; the last endpoint is still in use.
     std::vector<TimePoint> m_left;
     TimePoint m_storeTroubledAt {};
 };
 
 } // namespace
 
-// Found by this test: an entry used an endpoint for good that had left. How: its
-// relay had missed more than the entry had, listed the store, and told it what differed
-// from the relay's own past. Cause: an endpoint that came and went in the part
-// that the relay had missed is in no difference, though the entry knew its
-// coming; the relay counted every revision from before the listing as one that it can go on
-// from. Proof: the answer named ten revisions and three changes.
-TEST_CASE("over seeded orders of troubles no entry that has been calm for long uses an endpoint that has left")
+// Guards against an entry that uses a departed endpoint without end. Its relay had missed
+// more changes than the entry, listed the store, and sent the differences from the
+// relay's own earlier state. An endpoint that was added and removed in the relay's gap is
+// in no difference, though the entry had received its addition. The relay took every
+// revision before the listing as one from which its changes are complete; its answer
+// spanned ten revisions and held three changes.
+TEST_CASE("over seeded sequences of faults no entry that has been healthy for long uses a departed endpoint")
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
         RestlessZone zone(2 + seed % 3, seed);
@@ -232,7 +232,7 @@
     }
 }
 
-TEST_CASE("in calm times one entry of a zone watches the store, also a slow one, and no other asks it")
+TEST_CASE("without faults one entry of a zone watches the store, fast or slow, and no other entry calls it")
 {
     for (Duration latency : { 20ms, 250ms }) {
         StoreZone zone(4);
--- a/unittests/Ingress/StoreZone.cpp
+++ b/unittests/Ingress/StoreZone.cpp
@@ -7,12 +7,12 @@
 
 using std::chrono::milliseconds;
 
-/// Times of the client of the platform's store.
+/// Timeouts of the platform's store client.
 static constexpr milliseconds watchTimeout { 1'600 };
 static constexpr milliseconds callTimeout { 1'000 };
 static constexpr milliseconds refusalTime { 10 };
 static constexpr milliseconds storeLatency { 20 };
-/// How often a fake looks whether something has changed.
+/// Interval at which the fakes check for changes.
 static constexpr milliseconds look { 10 };
 static constexpr milliseconds houseKeepingInterval { 250 };
 static constexpr std::uint16_t firstPort = 100;
@@ -22,7 +22,7 @@
     return "entry-" + std::to_string(entry);
 }
 
-/// An entry's path to the store, with the timeouts of its client.
+/// An entry's connection to the store, with its faults and the timeouts of its client.
 class StoreZone::Path final : public Store {
 public:
     Path(StoreZone& zone, std::size_t entry, Scheduler& scheduler)
@@ -70,8 +70,8 @@
     std::unique_ptr<Store> m_client;
 };
 
-/// A watch on the path; what comes while the path is cut arrives with the path's
-/// return, if the call has not timed out by then.
+/// A watch on the path. Events that arrive while the path is down are held and delivered
+/// when it recovers, unless the call has timed out by then.
 struct StoreZone::Path::Watch {
     void end(const absl::Status& status)
     {
@@ -169,7 +169,7 @@
     });
 }
 
-/// Carries an entry's questions to the others by the port of their address.
+/// Delivers an entry's requests to the other entries by the port of their address.
 class StoreZone::Client final : public HttpClient {
 public:
     Client(StoreZone& zone, std::size_t entry, Scheduler& scheduler)
@@ -193,7 +193,7 @@
         HttpClientRequest request;
         HttpClientCallbacks callbacks;
         std::size_t server { 0 };
-        /// Start of the process that has the question; zero until one has.
+        /// Start count of the process that received the request; zero before delivery.
         std::uint64_t serverStart { 0 };
         std::shared_ptr<FakeResponder> responder { std::make_shared<FakeResponder>() };
         TimePoint until {};
--- a/unittests/Ingress/StoreZone.h
+++ b/unittests/Ingress/StoreZone.h
@@ -10,22 +10,23 @@
 
 namespace catkinwing {
 
-/// What is wrong with an entry.
+/// The fault that an entry has.
 enum class EntryFault {
     None,
-    /// The store neither answers the entry nor refuses it.
+    /// The store neither answers nor refuses the entry's calls.
     StoreSilent,
-    /// The store refuses each call of the entry.
+    /// The store refuses all calls of the entry.
     StoreRefuses,
-    /// Neither the store nor the other entries are reached.
+    /// The entry reaches neither the store nor other entries.
     CutOff,
-    /// The process stands still.
+    /// The process is paused.
     Frozen,
-    /// The process has been killed; healed, it starts and knows nothing.
+    /// The process is killed. When the fault ends, it starts without data.
     Killed,
 };
 
-/// Entries that know each other, and what goes wrong with each. Registrations of entries stay.
+/// Entries of one zone with injected faults. Every entry has all the others in its table of
+/// entries throughout.
 class StoreZone {
 public:
     explicit StoreZone(std::size_t entries);
@@ -33,14 +34,14 @@
     StoreZone(const StoreZone&) = delete;
     StoreZone& operator=(const StoreZone&) = delete;
 
-    /// Lets time pass for all entries that don't stand still.
+    /// Advances the time of all entries that aren't paused.
     void pass(Duration span);
     void setFault(std::size_t entry, EntryFault fault);
-    /// Registers an endpoint under \p name, or says that it leaves.
+    /// Registers an endpoint under \p name, or marks it as leaving.
     void registerEndpoint(const std::string& name, bool isLeaving = false);
-    /// Tells whether an entry may still send requests to an endpoint.
+    /// Returns whether an entry may still send requests to an endpoint.
     bool uses(std::size_t entry, const std::string& endpoint) const;
-    /// Tells whether nothing has been wrong with an entry for \p span.
+    /// Returns whether an entry has had no fault for \p span.
     bool hasBeenCalm(std::size_t entry, Duration span) const;
     bool isDirect(std::size_t entry) const;
     std::size_t size() const { return m_entries.size(); }
