--- a/include/catkinwing/Ingress/IngressDaemon.h
+++ b/include/catkinwing/Ingress/IngressDaemon.h
@@ -14,7 +14,7 @@
 
 /// Creates a store client for the given servers. The client calls \p onCall
 /// with the kind of each request that it sends.
-using StoreMaker = std::function<std::unique_ptr<Store>(HttpClient& http, Scheduler& scheduler, std::vector<SocketAddress> servers,
+using StoreFactory = std::function<std::unique_ptr<Store>(HttpClient& http, Scheduler& scheduler, std::vector<SocketAddress> servers,
     std::function<void(const char* kind)> onCall)>;
 
 /// One entry that routes requests by host and path. It follows the store,
@@ -24,7 +24,7 @@
     /// Starts serving. \p loop must outlive the daemon, and \p settings must
     /// have the ingress settings.
     static absl::StatusOr<std::unique_ptr<IngressDaemon>> start(EventLoop& loop, const DaemonSettings& settings, Random random,
-        const Dialect& dialect, const StoreMaker& makeStore);
+        const Dialect& dialect, const StoreFactory& makeStore);
     ~IngressDaemon();
     IngressDaemon(const IngressDaemon&) = delete;
     IngressDaemon& operator=(const IngressDaemon&) = delete;
--- a/include/catkinwing/Ingress/RelayedStore.h
+++ b/include/catkinwing/Ingress/RelayedStore.h
@@ -10,18 +10,18 @@
 namespace catkinwing {
 
 /// Callbacks by which a RelayedStore selects other entries and reports about them.
-struct RelayChoice {
+struct RelayCallbacks {
     /// Returns the entry to request changes from; nothing if this entry is to
     /// watch the store directly.
-    std::function<std::optional<SocketAddress>()> relay;
+    std::function<std::optional<SocketAddress>()> findRelay;
     /// Reports that a relay failed to return usable changes.
-    std::function<void(const SocketAddress&)> noteFailure;
+    std::function<void(const SocketAddress&)> recordRelayFailure;
     /// Reports that the next events were derived from a listing because a part
     /// of the change history was lost.
-    std::function<void()> noteTrouble;
+    std::function<void()> recordHistoryGap;
     /// Returns an entry to fetch all keys from while the store is unreachable and
     /// this entry has no data yet; nothing if no such entry is known.
-    std::function<std::optional<SocketAddress>()> bootstrap;
+    std::function<std::optional<SocketAddress>()> findBootstrapPeer;
 };
 
 /// A store whose watch goes through another entry, the relay, if there is one, so
@@ -32,7 +32,7 @@
 class RelayedStore final : public Store {
 public:
     /// All references must outlive the store.
-    RelayedStore(Store& direct, HttpClient& peers, Scheduler& scheduler, RelayChoice choice);
+    RelayedStore(Store& direct, HttpClient& peers, Scheduler& scheduler, RelayCallbacks relayCallbacks);
     ~RelayedStore() override;
     RelayedStore(const RelayedStore&) = delete;
     RelayedStore& operator=(const RelayedStore&) = delete;
--- a/include/catkinwing/Ingress/StoreMirror.h
+++ b/include/catkinwing/Ingress/StoreMirror.h
@@ -19,8 +19,8 @@
     /// contents are recorded as changes, so that an entry at the mirror's earlier
     /// revision need not list the store as well. A listing older than the mirror
     /// is ignored.
-    void takeListing(const StoreListing& listing);
-    void takeEvents(const std::vector<StoreEvent>& events);
+    void applyListing(const StoreListing& listing);
+    void applyEvents(const std::vector<StoreEvent>& events);
     /// Returns the changes after \p revision, or all keys for zero; nothing before
     /// the first listing, or if the changes since then aren't all known.
     std::optional<StoreChanges> changesAfter(StoreRevision revision) const;
@@ -28,8 +28,8 @@
     StoreRevision revision() const { return m_revision; }
 
 private:
-    StoreChanges everything() const;
-    void noteDifferences(const StoreListing& listing);
+    StoreChanges allValues() const;
+    void recordDifferences(const StoreListing& listing);
     void trim();
 
     std::size_t m_maxChanges;
@@ -41,7 +41,7 @@
     /// Revision of the last listing, which covers all events up to it.
     StoreRevision m_listedRevision { 0 };
     /// Revision of the contents before the last listing.
-    StoreRevision m_listedAfter { 0 };
+    StoreRevision m_revisionBeforeListing { 0 };
 };
 
 } // namespace catkinwing
--- a/lib/Ingress/IngressDaemon.cpp
+++ b/lib/Ingress/IngressDaemon.cpp
@@ -24,41 +24,41 @@
 /// Lease of an entry's registration: a terminated entry is removed from the
 /// directory after this time. Shorter leases cost more renewals and expire during
 /// short store outages.
-static constexpr milliseconds entryLease { 4'000 };
-static constexpr milliseconds entryRenewal { 1'000 };
+static constexpr milliseconds entryLeaseDuration { 4'000 };
+static constexpr milliseconds entryRenewalInterval { 1'000 };
 /// Clients close idle connections after a limit set by their operator. An entry
 /// keeps them open longer than any common limit.
 static constexpr milliseconds idleConnectionTimeout { 60'000 };
 static constexpr milliseconds clientSendTimeout { 15'000 };
 /// Idle connections to endpoints are closed before the endpoints close them: a
 /// request that is sent while the endpoint closes the connection is lost.
-static constexpr milliseconds keepIdleEndpoints { 3'000 };
-static constexpr milliseconds keepIdlePeers { 10'000 };
+static constexpr milliseconds endpointIdleTimeout { 3'000 };
+static constexpr milliseconds peerIdleTimeout { 10'000 };
 /// New connections are accepted for this long after SIGTERM, each for one request.
 /// By then no client holds a directory answer that names the entry.
-static constexpr milliseconds listenWhileDraining { 3'200 };
-/// A draining entry runs at least for the minimum time after SIGTERM, and for the
-/// quiet time after its last request, since clients that hold an old directory
-/// answer still connect.
-static constexpr milliseconds minimumDrain { 1'500 };
-static constexpr milliseconds quietBeforeEnd { 700 };
+static constexpr milliseconds drainListenDuration { 3'200 };
+/// A draining entry runs at least for the minimum time after SIGTERM, at most half the
+/// drain timeout, and for the quiet time after its last request, since clients that
+/// hold an old directory answer still connect.
+static constexpr milliseconds minDrainDuration { 1'500 };
+static constexpr milliseconds drainQuietDuration { 700 };
 /// Draining ends this long before the drain timeout, at which the platform kills
 /// the process.
 static constexpr milliseconds drainMargin { 400 };
-static constexpr milliseconds drainCheck { 50 };
+static constexpr milliseconds drainCheckInterval { 50 };
 static constexpr milliseconds houseKeepingInterval { 250 };
 /// A longer time between two rounds of housekeeping means that the process was
 /// paused or starved of CPU time, and receives messages late.
-static constexpr milliseconds longestHouseKeepingPause { 500 };
-static constexpr milliseconds stateInterval { 10'000 };
+static constexpr milliseconds maxHouseKeepingGap { 500 };
+static constexpr milliseconds stateLogInterval { 10'000 };
 /// Requests take from 30 ms to several seconds, and loads that are received through
 /// a collector are about one and a half intervals old. If loads are twice as old,
 /// entries send too many requests to the same endpoints.
 static constexpr milliseconds loadReportInterval { 100 };
 /// Connections that break within this time are covered by one crash report.
-static constexpr milliseconds urgentDelay { 2 };
+static constexpr milliseconds urgentReportDelay { 2 };
 /// A region report is sent once in this many load report intervals.
-static constexpr std::uint64_t regionReportEvery = 2;
+static constexpr std::uint64_t loadReportsPerRegionReport = 2;
 /// Each region report goes to this many other regions, from a random one on, and to
 /// this many random entries of each: at most six datagrams of about 100 bytes.
 static constexpr std::size_t regionsPerReport = 3;
@@ -66,18 +66,18 @@
 /// Expected number of entries of a region that send a region report in one round,
 /// chosen at random. With five rounds a second, an entry in a region of 100 entries
 /// receives several reports a second about another region.
-static constexpr double entriesReporting = 32;
+static constexpr double expectedRegionReporters = 32;
 static constexpr int statusOk = 200;
 static constexpr int statusNotFound = 404;
 static constexpr int statusUnavailable = 503;
 
 struct IngressDaemon::Impl {
-    Impl(EventLoop& eventLoop, const DaemonSettings& daemonSettings, Random seeded, const Dialect& spoken, const StoreMaker& makeStore)
+    Impl(EventLoop& eventLoop, const DaemonSettings& daemonSettings, Random randomSource, const Dialect& requestDialect, const StoreFactory& makeStore)
         : loop(eventLoop)
         , settings(daemonSettings)
         , ingress(*settings.ingress)
-        , random(seeded)
-        , dialect(spoken)
+        , random(randomSource)
+        , dialect(requestDialect)
         , log(eventLoop.clock())
         , storeClient(makeHttpClient(eventLoop, {}))
         , endpointClient(makeHttpClient(eventLoop, endpointClientOptions()))
@@ -89,8 +89,8 @@
         , loads(parts.endpoints, parts.entries, self)
         , crashes(parts.crashing, parts.entries, self, random)
         , registration(*store, eventLoop, registrationOptions())
-        , relayed(*store, *peerClient, eventLoop, relayChoice())
-        , follower(relayed, eventLoop, random, entryPrefix, parts, [this](const std::string& key) {
+        , relayedStore(*store, *peerClient, eventLoop, relayCallbacks())
+        , follower(relayedStore, eventLoop, random, entryPrefix, parts, [this](const std::string& key) {
             if (key == registration.key())
                 registration.noteVanished();
         })
@@ -100,14 +100,14 @@
     static HttpClientOptions endpointClientOptions()
     {
         HttpClientOptions options;
-        options.keepIdle = keepIdleEndpoints;
+        options.keepIdle = endpointIdleTimeout;
         return options;
     }
 
     static HttpClientOptions peerClientOptions()
     {
         HttpClientOptions options;
-        options.keepIdle = keepIdlePeers;
+        options.keepIdle = peerIdleTimeout;
         return options;
     }
 
@@ -116,19 +116,19 @@
         EntryRegistrationOptions options;
         options.key = absl::StrCat(entryPrefix, settings.name, ".", makeId(random).substr(0, 8));
         options.value = writeEntryRecord(self);
-        options.timeToLive = entryLease;
-        options.renewEvery = entryRenewal;
+        options.timeToLive = entryLeaseDuration;
+        options.renewEvery = entryRenewalInterval;
         return options;
     }
 
-    RelayChoice relayChoice()
+    RelayCallbacks relayCallbacks()
     {
-        RelayChoice choice;
-        choice.relay = [this] { return parts.entries.relay(ownKey(), loop.clock().now()); };
-        choice.bootstrap = [this] { return lastReporter; };
-        choice.noteTrouble = [this] { follower.noteTrouble(); };
-        choice.noteFailure = [this](const SocketAddress& peer) { parts.entries.notePeerFailure(peer, loop.clock().now()); };
-        return choice;
+        RelayCallbacks callbacks;
+        callbacks.findRelay = [this] { return parts.entries.relay(ownKey(), loop.clock().now()); };
+        callbacks.findBootstrapPeer = [this] { return lastReportSender; };
+        callbacks.recordHistoryGap = [this] { follower.recordHistoryGap(); };
+        callbacks.recordRelayFailure = [this](const SocketAddress& peer) { parts.entries.notePeerFailure(peer, loop.clock().now()); };
+        return callbacks;
     }
 
     /// Key of this entry in the table of entries.
@@ -136,15 +136,15 @@
 
     absl::Status listen();
     absl::StatusOr<std::unique_ptr<HttpServer>> listenOn(const SocketAddress& address, HttpHandler handler) const;
-    void accept(HttpRequest request, std::shared_ptr<HttpResponder> responder, bool isFromPeer);
+    void handleRequest(HttpRequest request, std::shared_ptr<HttpResponder> responder, bool isFromPeer);
     void answerReadiness(const HttpRequest& request, HttpResponder& responder) const;
     void answerDirectory(const HttpRequest& request, HttpResponder& responder);
     void answerOperator(const HttpRequest& request, HttpResponder& responder);
-    bool isReady() const { return parts.routes && follower.knowsEndpoints() && !parts.stop; }
-    void takeLoadReport(const SocketAddress& from, absl::string_view bytes);
-    void takeRegionReport(const SocketAddress& from, absl::string_view bytes);
+    bool isReady() const { return parts.routes && follower.hasListedStore() && !parts.stop; }
+    void receiveLoadReport(const SocketAddress& from, absl::string_view bytes);
+    void receiveRegionReport(const SocketAddress& from, absl::string_view bytes);
     void send(const std::vector<OutgoingDatagram>& datagrams);
-    void reportUrgent();
+    void scheduleUrgentReport();
     void reportLoad();
     void reportRegion();
     void logState();
@@ -171,23 +171,23 @@
     LoadExchange loads;
     CrashExchange crashes;
     EntryRegistration registration;
-    RelayedStore relayed;
+    RelayedStore relayedStore;
     StoreFollower follower;
     std::unique_ptr<HttpServer> clients;
     std::unique_ptr<HttpServer> peers;
     std::unique_ptr<HttpServer> readiness;
     std::unique_ptr<HttpServer> directory;
     std::unique_ptr<HttpServer> operators;
-    std::unique_ptr<DatagramSocket> loadReports;
+    std::unique_ptr<DatagramSocket> loadReportSocket;
     /// Sender of the last load report or digest. Reports are sent from the address at
     /// which an entry serves other entries.
-    std::optional<SocketAddress> lastReporter;
+    std::optional<SocketAddress> lastReportSender;
     TimePoint stateLoggedAt {};
     bool hasStoppedListening { false };
     bool wasReady { false };
     TimePoint lastRequestAt {};
-    TimePoint houseKeptAt {};
-    std::function<void()> drained;
+    TimePoint lastHouseKeepingAt {};
+    std::function<void()> onDrained;
 };
 
 absl::StatusOr<std::unique_ptr<HttpServer>> IngressDaemon::Impl::listenOn(const SocketAddress& address, HttpHandler handler) const
@@ -212,17 +212,17 @@
         HttpHandler handler;
     };
     Listener listeners[] = {
-        { settings.listen.callers, &clients, [this](HttpRequest request, Responder responder) { accept(std::move(request), std::move(responder), false); } },
-        { settings.listen.peers, &peers, [this](HttpRequest request, Responder responder) { accept(std::move(request), std::move(responder), true); } },
+        { settings.listen.callers, &clients, [this](HttpRequest request, Responder responder) { handleRequest(std::move(request), std::move(responder), false); } },
+        { settings.listen.peers, &peers, [this](HttpRequest request, Responder responder) { handleRequest(std::move(request), std::move(responder), true); } },
         { ingress.readiness, &readiness, [this](const HttpRequest& request, const Responder& responder) { answerReadiness(request, *responder); } },
         { ingress.directory, &directory, [this](const HttpRequest& request, const Responder& responder) { answerDirectory(request, *responder); } },
         { settings.listen.operators, &operators, [this](const HttpRequest& request, const Responder& responder) { answerOperator(request, *responder); } },
     };
     absl::StatusOr<std::unique_ptr<DatagramSocket>> socket = DatagramSocket::bind(loop, settings.listen.peers,
-        [this](const SocketAddress& from, absl::string_view bytes) { takeLoadReport(from, bytes); });
+        [this](const SocketAddress& from, absl::string_view bytes) { receiveLoadReport(from, bytes); });
     if (!socket.ok())
         return socket.status();
-    loadReports = std::move(*socket);
+    loadReportSocket = std::move(*socket);
     for (Listener& listener : listeners) {
         absl::StatusOr<std::unique_ptr<HttpServer>> server = listenOn(listener.address, std::move(listener.handler));
         if (!server.ok())
@@ -232,7 +232,7 @@
     return absl::OkStatus();
 }
 
-static void answer(HttpResponder& responder, int status, const char* type, std::string body)
+static void sendResponse(HttpResponder& responder, int status, const char* type, std::string body)
 {
     HttpResponseHead head;
     head.status = status;
@@ -240,10 +240,10 @@
     responder.send(head, std::move(body));
 }
 
-void IngressDaemon::Impl::accept(HttpRequest request, std::shared_ptr<HttpResponder> responder, bool isFromPeer)
+void IngressDaemon::Impl::handleRequest(HttpRequest request, std::shared_ptr<HttpResponder> responder, bool isFromPeer)
 {
     if (isFromPeer && request.headers.find(changesAfterHeader)) {
-        relayed.answerPeer(request, std::move(responder));
+        relayedStore.answerPeer(request, std::move(responder));
         return;
     }
     lastRequestAt = loop.clock().now();
@@ -260,16 +260,16 @@
 void IngressDaemon::Impl::answerReadiness(const HttpRequest& request, HttpResponder& responder) const
 {
     if (!dialect.isReadinessQuestion(request))
-        answer(responder, statusNotFound, "text/plain", "");
+        sendResponse(responder, statusNotFound, "text/plain", "");
     else
-        answer(responder, isReady() ? statusOk : statusUnavailable, "text/plain", "");
+        sendResponse(responder, isReady() ? statusOk : statusUnavailable, "text/plain", "");
 }
 
 void IngressDaemon::Impl::answerDirectory(const HttpRequest& request, HttpResponder& responder)
 {
     std::optional<DirectoryQuestion> question = dialect.readDirectoryQuestion(request);
     if (!question) {
-        answer(responder, statusNotFound, "text/plain", "");
+        sendResponse(responder, statusNotFound, "text/plain", "");
         return;
     }
     HostHomes homes = parts.routes ? homesOf(*parts.routes, question->host) : HostHomes();
@@ -278,25 +278,25 @@
     if (entries.empty() && isReady() && mayServe)
         entries.push_back(self.clients);
     if (entries.empty()) {
-        answer(responder, statusUnavailable, "text/plain", "");
+        sendResponse(responder, statusUnavailable, "text/plain", "");
         return;
     }
     metrics.count("directory_answers");
     auto validFor = std::chrono::duration_cast<milliseconds>(ingress.directoryLifetime);
-    answer(responder, statusOk, "application/json", dialect.writeDirectoryAnswer(entries, validFor));
+    sendResponse(responder, statusOk, "application/json", dialect.writeDirectoryAnswer(entries, validFor));
 }
 
 void IngressDaemon::Impl::answerOperator(const HttpRequest& request, HttpResponder& responder)
 {
     if (request.path != "/metrics") {
-        answer(responder, statusNotFound, "text/plain", "");
+        sendResponse(responder, statusNotFound, "text/plain", "");
         return;
     }
     metrics.set("open_requests", static_cast<double>(parts.openRequests));
     for (const auto& [kind, calls] : storeCalls)
         metrics.set("store_calls_" + kind, static_cast<double>(calls));
-    metrics.set("watches_store", relayed.isDirect() ? 1 : 0);
-    metrics.set("store_age_seconds", std::chrono::duration<double>(relayed.age().value_or(Duration::zero())).count());
+    metrics.set("watches_store", relayedStore.isDirect() ? 1 : 0);
+    metrics.set("store_age_seconds", std::chrono::duration<double>(relayedStore.age().value_or(Duration::zero())).count());
     metrics.set("requests_refused_for_crashes", static_cast<double>(parts.crashing.refused(loop.clock().now())));
     for (const auto& [service, budget] : parts.retryBudgets) {
         metrics.set("retry_budget_requests_" + service, static_cast<double>(budget.totals().requests));
@@ -308,32 +308,32 @@
     metrics.set("endpoints", static_cast<double>(parts.endpoints.size()));
     metrics.set("configuration_version", parts.routes ? static_cast<double>(parts.routes->version()) : 0);
     metrics.set("log_lines_dropped", static_cast<double>(log.dropped()));
-    answer(responder, statusOk, "text/plain", metrics.render());
+    sendResponse(responder, statusOk, "text/plain", metrics.render());
 }
 
 // Other entries still send reports to an entry that restarted at its old address,
 // so a sender is known before the store has answered.
-void IngressDaemon::Impl::takeLoadReport(const SocketAddress& from, absl::string_view bytes)
+void IngressDaemon::Impl::receiveLoadReport(const SocketAddress& from, absl::string_view bytes)
 {
     absl::StatusOr<LoadReport> report = decodeLoadReport(bytes);
     absl::StatusOr<LoadDigest> digest = decodeLoadDigest(report.ok() ? absl::string_view() : bytes);
     if (!report.ok() && !digest.ok()) {
-        takeRegionReport(from, bytes);
+        receiveRegionReport(from, bytes);
         return;
     }
-    lastReporter = from;
+    lastReportSender = from;
     if (report.ok())
         loads.takeReport(std::move(*report), loop.clock().now());
     else
         loads.takeDigest(std::move(*digest), loop.clock().now());
 }
 
-void IngressDaemon::Impl::takeRegionReport(const SocketAddress& from, absl::string_view bytes)
+void IngressDaemon::Impl::receiveRegionReport(const SocketAddress& from, absl::string_view bytes)
 {
     absl::StatusOr<RegionReport> report = decodeRegionReport(bytes);
-    absl::StatusOr<CrashReport> ofCrashes = decodeCrashReport(report.ok() ? absl::string_view() : bytes);
-    if (ofCrashes.ok())
-        crashes.take(from, *ofCrashes, loop.clock().now());
+    absl::StatusOr<CrashReport> crashReport = decodeCrashReport(report.ok() ? absl::string_view() : bytes);
+    if (crashReport.ok())
+        crashes.take(from, *crashReport, loop.clock().now());
     else if (!report.ok())
         metrics.count("load_reports_refused");
     else if (report->region != settings.region)
@@ -344,10 +344,10 @@
 // is limited, so that the reports received don't grow with the sender's region.
 void IngressDaemon::Impl::reportRegion()
 {
-    if (!isReady() || loads.sequence() % regionReportEvery != 0)
+    if (!isReady() || loads.sequence() % loadReportsPerRegionReport != 0)
         return;
-    auto siblings = static_cast<double>(parts.entries.keysOfRegion(settings.region).size());
-    if (random.unit() * siblings > entriesReporting)
+    auto entriesInRegion = static_cast<double>(parts.entries.keysOfRegion(settings.region).size());
+    if (random.unit() * entriesInRegion > expectedRegionReporters)
         return;
     std::vector<std::string> regions = parts.entries.otherRegions();
     if (regions.empty())
@@ -362,7 +362,7 @@
         for (std::size_t sent = 0; sent < std::min(entries.size(), entriesPerRegion); ++sent) {
             std::size_t chosen = sent + random.below(entries.size() - sent);
             std::swap(entries[sent], entries[chosen]);
-            loadReports->send(entries[sent], bytes);
+            loadReportSocket->send(entries[sent], bytes);
         }
     }
 }
@@ -370,14 +370,14 @@
 void IngressDaemon::Impl::send(const std::vector<OutgoingDatagram>& datagrams)
 {
     for (const OutgoingDatagram& datagram : datagrams)
-        loadReports->send(datagram.to, datagram.bytes);
+        loadReportSocket->send(datagram.to, datagram.bytes);
 }
 
 // All connections of a crashed endpoint break at the same moment; the delay puts
 // them into one report.
-void IngressDaemon::Impl::reportUrgent()
+void IngressDaemon::Impl::scheduleUrgentReport()
 {
-    loop.callAfter(urgentDelay, [this] { send(crashes.tellUrgent(loop.clock().now())); });
+    loop.callAfter(urgentReportDelay, [this] { send(crashes.tellUrgent(loop.clock().now())); });
 }
 
 void IngressDaemon::Impl::reportLoad()
@@ -402,13 +402,13 @@
 void IngressDaemon::Impl::logState()
 {
     TimePoint now = loop.clock().now();
-    if (now - stateLoggedAt < stateInterval)
+    if (now - stateLoggedAt < stateLogInterval)
         return;
     stateLoggedAt = now;
     logChange(LogLevel::Info, "state",
         { { "open_requests", parts.openRequests }, { "entries", parts.entries.size() }, { "endpoints", parts.endpoints.size() },
-            { "version", parts.routes ? parts.routes->version() : 0 }, { "watches_store", relayed.isDirect() },
-            { "store_age_ms", std::chrono::duration_cast<milliseconds>(relayed.age().value_or(Duration::zero())).count() }, { "store_calls", storeCalls },
+            { "version", parts.routes ? parts.routes->version() : 0 }, { "watches_store", relayedStore.isDirect() },
+            { "store_age_ms", std::chrono::duration_cast<milliseconds>(relayedStore.age().value_or(Duration::zero())).count() }, { "store_calls", storeCalls },
             { "retry_budgets", retryTotals() }, { "log_lines_dropped", log.dropped() } });
 }
 
@@ -418,9 +418,9 @@
 {
     logState();
     TimePoint now = loop.clock().now();
-    bool stoodStill = now - houseKeptAt > longestHouseKeepingPause && houseKeptAt != TimePoint {};
-    houseKeptAt = now;
-    if (stoodStill)
+    bool wasPaused = now - lastHouseKeepingAt > maxHouseKeepingGap && lastHouseKeepingAt != TimePoint {};
+    lastHouseKeepingAt = now;
+    if (wasPaused)
         parts.endpoints.forgiveSilence(now);
     parts.endpoints.leaveSilent(now);
     follower.houseKeep();
@@ -437,19 +437,19 @@
 void IngressDaemon::Impl::checkDrained()
 {
     Duration passed = loop.clock().now() - parts.stop->began;
-    if (passed >= listenWhileDraining && !hasStoppedListening) {
+    if (passed >= drainListenDuration && !hasStoppedListening) {
         hasStoppedListening = true;
         clients->stopListening();
     }
-    bool isQuiet = loop.clock().now() - lastRequestAt >= quietBeforeEnd || hasStoppedListening;
-    bool hasRested = isQuiet && passed >= std::min<Duration>(minimumDrain, ingress.drainTimeout / 2);
+    bool isQuiet = loop.clock().now() - lastRequestAt >= drainQuietDuration || hasStoppedListening;
+    bool mayEnd = isQuiet && passed >= std::min<Duration>(minDrainDuration, ingress.drainTimeout / 2);
     bool mustEnd = loop.clock().now() >= parts.stop->endsBy;
-    if (mustEnd || (hasRested && parts.openRequests == 0)) {
+    if (mustEnd || (mayEnd && parts.openRequests == 0)) {
         logChange(LogLevel::Info, "stopped", { { "open_requests", parts.openRequests }, { "retry_budgets", retryTotals() } });
-        drained();
+        onDrained();
         return;
     }
-    loop.callAfter(drainCheck, [this] { checkDrained(); });
+    loop.callAfter(drainCheckInterval, [this] { checkDrained(); });
 }
 
 IngressDaemon::IngressDaemon(std::unique_ptr<Impl> impl)
@@ -460,7 +460,7 @@
 IngressDaemon::~IngressDaemon() = default;
 
 absl::StatusOr<std::unique_ptr<IngressDaemon>> IngressDaemon::start(EventLoop& loop, const DaemonSettings& settings, Random random,
-    const Dialect& dialect, const StoreMaker& makeStore)
+    const Dialect& dialect, const StoreFactory& makeStore)
 {
     auto impl = std::make_unique<Impl>(loop, settings, random, dialect, makeStore);
     absl::Status status = impl->listen();
@@ -470,7 +470,7 @@
         { { "entry", settings.name }, { "zone", settings.availabilityZone }, { "region", settings.region },
             { "clients", settings.listen.callers.toString() }, { "peers", settings.listen.peers.toString() } });
     impl->parts.startedAt = loop.clock().now();
-    impl->parts.crashing.onUrgent([state = impl.get()] { state->reportUrgent(); });
+    impl->parts.crashing.onUrgent([state = impl.get()] { state->scheduleUrgentReport(); });
     impl->parts.endpoints.setColdTolerance(settings.ingress->coldRatio, settings.ingress->coldSlack);
     // Closes connections to an endpoint that was restarted: they belong to the earlier
     // incarnation.
@@ -486,12 +486,12 @@
     Impl& impl = *m_impl;
     if (impl.parts.stop)
         return;
-    impl.drained = std::move(done);
+    impl.onDrained = std::move(done);
     TimePoint now = impl.loop.clock().now();
     impl.parts.stop = PlannedStop { now, now + impl.ingress.drainTimeout - drainMargin };
     logChange(LogLevel::Info, "draining", { { "open_requests", impl.parts.openRequests } });
     impl.registration.stop();
-    impl.relayed.stopRelaying();
+    impl.relayedStore.stopRelaying();
     impl.clients->discourage();
     impl.peers->discourage();
     impl.checkDrained();
--- a/lib/Ingress/RelayedStore.cpp
+++ b/lib/Ingress/RelayedStore.cpp
@@ -14,19 +14,19 @@
 static constexpr milliseconds maxAge { 2'000 };
 /// Timeout of a request for an immediate answer. It is short, since it delays the
 /// recovery of an entry whose data is too old.
-static constexpr milliseconds atOnceTimeout { 400 };
+static constexpr milliseconds immediateAnswerTimeout { 400 };
 /// Max time between two reads of an answer.
-static constexpr milliseconds relayMargin { 300 };
+static constexpr milliseconds relayIdleTimeout { 300 };
 static constexpr milliseconds relayConnectTimeout { 300 };
 static constexpr milliseconds bootstrapTimeout { 1'200 };
 /// Delay before the next relay is asked after a failure.
-static constexpr milliseconds nextRelayPause { 120 };
+static constexpr milliseconds nextRelayDelay { 120 };
 /// After a second relay failure in a row, or a slow one, an entry watches the store
 /// directly for this long.
-static constexpr milliseconds directAfterFailure { 3'000 };
+static constexpr milliseconds directWatchDuration { 3'000 };
 /// A broken watch usually works again after one more listing. Waiting requests of
 /// other entries are kept for this long before they are refused.
-static constexpr milliseconds holdWithoutWatch { 600 };
+static constexpr milliseconds waiterHoldTime { 600 };
 static constexpr std::size_t maxAnswerBytes = 16u << 20;
 static constexpr int statusOk = 200;
 static constexpr int statusGone = 410;
@@ -43,13 +43,13 @@
 } // namespace
 
 struct RelayedStore::Impl : std::enable_shared_from_this<Impl> {
-    class Following;
+    class Subscription;
 
-    Impl(Store& store, HttpClient& client, Scheduler& loop, RelayChoice relayChoice)
+    Impl(Store& store, HttpClient& client, Scheduler& loop, RelayCallbacks callbacks)
         : direct(store)
         , peers(client)
         , scheduler(loop)
-        , choice(std::move(relayChoice))
+        , relayCallbacks(std::move(callbacks))
     {
     }
 
@@ -58,14 +58,14 @@
     void answer(HttpResponder& responder, StoreRevision after) const;
     void refuseWaiters();
     /// Records that the store answered this entry's own watch.
-    void noteHeard();
+    void recordStoreAnswer();
     /// Records that this entry's data is complete as of \p time.
-    void noteCurrent(TimePoint time);
-    void endDirect();
+    void recordCurrentAsOf(TimePoint time);
+    void endDirectWatch();
     std::optional<Duration> age() const;
     /// Fetches all keys from another entry. \p failure is the error of the store's
     /// listing, passed to \p done if no entry can be asked or none answers.
-    void bootstrap(const absl::Status& failure, ListCallback done);
+    void bootstrapFromPeer(const absl::Status& failure, ListCallback done);
     bool isDirect() const { return directWatches > 0; }
     /// Returns whether other entries may wait here for the store's next answer.
     bool mayRelay() const;
@@ -73,7 +73,7 @@
     Store& direct;
     HttpClient& peers;
     Scheduler& scheduler;
-    RelayChoice choice;
+    RelayCallbacks relayCallbacks;
     StoreMirror mirror;
     /// Number of direct watches: a new one starts before the broken one is dropped.
     unsigned directWatches { 0 };
@@ -81,28 +81,28 @@
     TimePoint directUntil {};
     /// When the store last answered this entry's own watch; nothing before the
     /// first answer since the entry last used a relay.
-    std::optional<TimePoint> heardAt;
+    std::optional<TimePoint> storeAnsweredAt;
     /// When the last direct watch ended. Reset by the store's next answer, not by the
     /// start of a new watch.
-    std::optional<TimePoint> lostAt;
+    std::optional<TimePoint> watchLostAt;
     /// Time as of which the store, directly or through a relay, confirmed this entry's data.
-    std::optional<TimePoint> currentAt;
+    std::optional<TimePoint> currentAsOf;
     /// Requests that are answered when the store next answers this entry.
     std::vector<Waiter> waiters;
 };
 
 /// One watch, which runs directly at the store or by repeated requests to a relay.
-class RelayedStore::Impl::Following : public std::enable_shared_from_this<Following> {
+class RelayedStore::Impl::Subscription : public std::enable_shared_from_this<Subscription> {
 public:
-    Following(Impl& store, std::string prefix, StoreRevision seen, StoreWatchCallbacks callbacks)
+    Subscription(Impl& store, std::string prefix, StoreRevision lastRevision, StoreWatchCallbacks callbacks)
         : m_store(store)
         , m_prefix(std::move(prefix))
-        , m_seen(seen)
+        , m_lastRevision(lastRevision)
         , m_callbacks(std::move(callbacks))
     {
     }
 
-    void follow()
+    void selectSource()
     {
         std::optional<SocketAddress> relay = findRelay();
         if (relay)
@@ -115,9 +115,9 @@
     {
         m_callbacks = {};
         m_isClosed = true;
-        if (m_direct)
-            m_store.endDirect();
-        m_direct.reset();
+        if (m_directWatch)
+            m_store.endDirectWatch();
+        m_directWatch.reset();
         m_store.scheduler.cancel(m_nextRelayTimer);
         if (auto exchange = std::exchange(m_exchange, nullptr))
             exchange->cancel();
@@ -127,19 +127,19 @@
     std::optional<SocketAddress> findRelay() const
     {
         bool mustBeDirect = m_store.now() < m_store.directUntil;
-        return mustBeDirect ? std::nullopt : m_store.choice.relay();
+        return mustBeDirect ? std::nullopt : m_store.relayCallbacks.findRelay();
     }
 
     void watchDirectly()
     {
-        logChange(LogLevel::Info, "store_watched_directly", { { "after", m_seen } });
+        logChange(LogLevel::Info, "store_watched_directly", { { "after", m_lastRevision } });
         ++m_store.directWatches;
-        std::weak_ptr<Following> weak = weak_from_this();
+        std::weak_ptr<Subscription> weak = weak_from_this();
         StoreWatchCallbacks callbacks;
         callbacks.onEvents = [weak](const std::vector<StoreEvent>& events) {
             if (auto self = weak.lock()) {
-                self->m_store.noteHeard();
-                self->takeEvents(events);
+                self->m_store.recordStoreAnswer();
+                self->applyEvents(events);
             }
         };
         callbacks.onEnd = [weak](const absl::Status& status) {
@@ -148,28 +148,28 @@
         };
         callbacks.onCurrent = [weak] {
             if (auto self = weak.lock())
-                self->takeConfirmation();
+                self->handleStoreConfirmation();
         };
-        m_direct = m_store.direct.watch(m_prefix, m_seen + 1, std::move(callbacks));
+        m_directWatch = m_store.direct.watch(m_prefix, m_lastRevision + 1, std::move(callbacks));
     }
 
     // Switches to a relay right after an answer of the store, when the data is new and
     // the relay has the most time for its first answer.
-    void takeConfirmation()
+    void handleStoreConfirmation()
     {
-        m_store.noteHeard();
+        m_store.recordStoreAnswer();
         m_store.answerWaiters();
-        tellCurrent();
+        notifyCurrent();
         std::optional<SocketAddress> relay = m_isClosed ? std::nullopt : findRelay();
         if (relay)
-            leaveStore(*relay);
+            switchToRelay(*relay);
     }
 
-    void leaveStore(const SocketAddress& relay)
+    void switchToRelay(const SocketAddress& relay)
     {
-        m_direct.reset();
+        m_directWatch.reset();
         --m_store.directWatches;
-        m_store.heardAt.reset();
+        m_store.storeAnsweredAt.reset();
         m_store.refuseWaiters();
         askRelay(relay);
     }
@@ -179,24 +179,24 @@
         m_askedAt = m_store.now();
         HttpClientRequest request;
         request.server = relay;
-        request.headers.add(changesAfterHeader, std::to_string(m_seen));
+        request.headers.add(changesAfterHeader, std::to_string(m_lastRevision));
         request.connectTimeout = relayConnectTimeout;
         // An entry whose data is too old, such as after a network partition, needs an
         // immediate answer. Any other entry waits until its data reaches the max age.
         Duration left = maxAge - m_store.age().value_or(maxAge);
-        bool isBack = left <= Duration::zero();
-        if (isBack)
+        bool isStale = left <= Duration::zero();
+        if (isStale)
             request.headers.add(changesAtOnceHeader, "1");
-        request.headTimeout = isBack ? atOnceTimeout : std::chrono::ceil<milliseconds>(left);
-        request.idleTimeout = relayMargin;
+        request.headTimeout = isStale ? immediateAnswerTimeout : std::chrono::ceil<milliseconds>(left);
+        request.idleTimeout = relayIdleTimeout;
         m_exchange = sendForWhole(m_store.peers, std::move(request), maxAnswerBytes,
             [weak = weak_from_this(), relay](const HttpResult& result, const HttpResponseHead& head, const std::string& body) {
                 if (auto self = weak.lock())
-                    self->takeAnswer(relay, result, head, body);
+                    self->handleRelayAnswer(relay, result, head, body);
             });
     }
 
-    void takeAnswer(const SocketAddress& relay, const HttpResult& result, const HttpResponseHead& head, const std::string& body)
+    void handleRelayAnswer(const SocketAddress& relay, const HttpResult& result, const HttpResponseHead& head, const std::string& body)
     {
         m_exchange.reset();
         bool isAnswer = result.end == HttpEnd::Complete && head.status == statusOk;
@@ -204,42 +204,42 @@
         if (changes.ok() && changes->age > maxAge)
             changes = absl::UnavailableError("store changes from the relay exceed the maximum age");
         if (!changes.ok()) {
-            turnToStore(relay, head.status, isAnswer ? std::string(changes.status().message()) : result.detail);
+            handleRelayFailure(relay, head.status, isAnswer ? std::string(changes.status().message()) : result.detail);
             return;
         }
-        m_store.noteCurrent(m_store.now() - changes->age);
+        m_store.recordCurrentAsOf(m_store.now() - changes->age);
         std::vector<StoreEvent> events;
         for (StoreChange& change : changes->changes)
             events.push_back({ change.isDeletion, { std::move(change.key), std::move(change.value), change.revision } });
-        m_failedRelays = 0;
+        m_consecutiveFailures = 0;
         auto self = shared_from_this();
-        if (changes->spansListing && m_store.choice.noteTrouble)
-            m_store.choice.noteTrouble();
+        if (changes->spansListing && m_store.relayCallbacks.recordHistoryGap)
+            m_store.relayCallbacks.recordHistoryGap();
         if (!events.empty())
-            takeEvents(events);
+            applyEvents(events);
         // The last revisions may have no change that is still in force.
-        m_seen = std::max(m_seen, changes->revision);
-        tellCurrent();
+        m_lastRevision = std::max(m_lastRevision, changes->revision);
+        notifyCurrent();
         if (!m_isClosed)
-            follow();
+            selectSource();
     }
 
     // A relay that no longer has the changes this entry needs (status 410) hasn't failed.
-    void turnToStore(const SocketAddress& relay, int status, const std::string& detail)
+    void handleRelayFailure(const SocketAddress& relay, int status, const std::string& detail)
     {
-        logChange(LogLevel::Warning, "relay_lost", { { "relay", relay.toString() }, { "status", status }, { "detail", detail }, { "seen", m_seen } });
+        logChange(LogLevel::Warning, "relay_lost", { { "relay", relay.toString() }, { "status", status }, { "detail", detail }, { "seen", m_lastRevision } });
         if (status != statusGone)
-            m_store.choice.noteFailure(relay);
-        bool isFirst = std::exchange(m_failedRelays, m_failedRelays + 1) == 0;
+            m_store.relayCallbacks.recordRelayFailure(relay);
+        bool isFirst = std::exchange(m_consecutiveFailures, m_consecutiveFailures + 1) == 0;
         // A relay that timed out has used up much of the time within which changes must
         // arrive, so no second relay is asked.
-        bool wasQuick = m_store.now() - m_askedAt < relayConnectTimeout || status != 0;
-        if (isFirst && wasQuick) {
+        bool failedFast = m_store.now() - m_askedAt < relayConnectTimeout || status != 0;
+        if (isFirst && failedFast) {
             askNextRelay();
             return;
         }
-        m_failedRelays = 0;
-        m_store.directUntil = m_store.now() + directAfterFailure;
+        m_consecutiveFailures = 0;
+        m_store.directUntil = m_store.now() + directWatchDuration;
         watchDirectly();
     }
 
@@ -247,25 +247,25 @@
     // relay start to watch the store for the others.
     void askNextRelay()
     {
-        m_nextRelayTimer = m_store.scheduler.callAfter(nextRelayPause, [weak = weak_from_this()] {
+        m_nextRelayTimer = m_store.scheduler.callAfter(nextRelayDelay, [weak = weak_from_this()] {
             auto self = weak.lock();
             if (self && !self->m_isClosed)
-                self->follow();
+                self->selectSource();
         });
     }
 
-    void takeEvents(const std::vector<StoreEvent>& events)
+    void applyEvents(const std::vector<StoreEvent>& events)
     {
         for (const StoreEvent& event : events)
-            m_seen = std::max(m_seen, event.current.revision);
-        m_store.mirror.takeEvents(events);
+            m_lastRevision = std::max(m_lastRevision, event.current.revision);
+        m_store.mirror.applyEvents(events);
         m_store.answerWaiters();
         auto onEvents = m_callbacks.onEvents;
         if (onEvents)
             onEvents(events);
     }
 
-    void tellCurrent()
+    void notifyCurrent()
     {
         auto onCurrent = m_callbacks.onCurrent;
         if (onCurrent)
@@ -274,7 +274,7 @@
 
     void fail(const absl::Status& status)
     {
-        logChange(LogLevel::Warning, "store_watch_ended", { { "after", m_seen }, { "detail", std::string(status.message()) } });
+        logChange(LogLevel::Warning, "store_watch_ended", { { "after", m_lastRevision }, { "detail", std::string(status.message()) } });
         auto onEnd = std::move(m_callbacks.onEnd);
         close();
         if (onEnd)
@@ -283,14 +283,14 @@
 
     Impl& m_store;
     std::string m_prefix;
-    StoreRevision m_seen;
+    StoreRevision m_lastRevision;
     StoreWatchCallbacks m_callbacks;
-    std::unique_ptr<StoreWatch> m_direct;
+    std::unique_ptr<StoreWatch> m_directWatch;
     std::shared_ptr<HttpExchange> m_exchange;
     TimerId m_nextRelayTimer { 0 };
     TimePoint m_askedAt {};
     /// Consecutive failures of relays.
-    int m_failedRelays { 0 };
+    int m_consecutiveFailures { 0 };
     bool m_isClosed { false };
 };
 
@@ -321,23 +321,23 @@
     }
 }
 
-void RelayedStore::Impl::noteCurrent(TimePoint time)
+void RelayedStore::Impl::recordCurrentAsOf(TimePoint time)
 {
-    currentAt = std::max(currentAt.value_or(time), time);
+    currentAsOf = std::max(currentAsOf.value_or(time), time);
 }
 
-void RelayedStore::Impl::noteHeard()
+void RelayedStore::Impl::recordStoreAnswer()
 {
-    heardAt = now();
-    lostAt.reset();
-    noteCurrent(now());
+    storeAnsweredAt = now();
+    watchLostAt.reset();
+    recordCurrentAsOf(now());
 }
 
 std::optional<Duration> RelayedStore::Impl::age() const
 {
-    if (!currentAt)
+    if (!currentAsOf)
         return std::nullopt;
-    return now() - *currentAt;
+    return now() - *currentAsOf;
 }
 
 // A new watch is usually answered soon, unless it follows a watch that ended. Entries
@@ -347,28 +347,28 @@
 {
     if (hasStopped)
         return false;
-    if (lostAt)
-        return now() < *lostAt + holdWithoutWatch;
-    return isDirect() && (!heardAt || now() - *heardAt <= maxAge);
+    if (watchLostAt)
+        return now() < *watchLostAt + waiterHoldTime;
+    return isDirect() && (!storeAnsweredAt || now() - *storeAnsweredAt <= maxAge);
 }
 
-void RelayedStore::Impl::endDirect()
+void RelayedStore::Impl::endDirectWatch()
 {
     --directWatches;
     if (isDirect())
         return;
-    if (!lostAt)
-        lostAt = now();
-    scheduler.callAfter(holdWithoutWatch, [weak = weak_from_this()] {
+    if (!watchLostAt)
+        watchLostAt = now();
+    scheduler.callAfter(waiterHoldTime, [weak = weak_from_this()] {
         auto self = weak.lock();
         if (self && !self->mayRelay())
             self->refuseWaiters();
     });
 }
 
-void RelayedStore::Impl::bootstrap(const absl::Status& failure, ListCallback done)
+void RelayedStore::Impl::bootstrapFromPeer(const absl::Status& failure, ListCallback done)
 {
-    std::optional<SocketAddress> peer = choice.bootstrap ? choice.bootstrap() : std::nullopt;
+    std::optional<SocketAddress> peer = relayCallbacks.findBootstrapPeer ? relayCallbacks.findBootstrapPeer() : std::nullopt;
     if (mirror.revision() > 0 || !peer) {
         done(failure);
         return;
@@ -396,14 +396,14 @@
             for (StoreChange& change : known->changes)
                 listing.values.push_back({ std::move(change.key), std::move(change.value), change.revision });
             logChange(LogLevel::Warning, "store_learned_from_entry", { { "from", peer.toString() }, { "revision", listing.revision }, { "keys", listing.values.size() } });
-            self->noteCurrent(self->now() - known->age);
-            self->mirror.takeListing(listing);
+            self->recordCurrentAsOf(self->now() - known->age);
+            self->mirror.applyListing(listing);
             done(std::move(listing));
         });
 }
 
-RelayedStore::RelayedStore(Store& direct, HttpClient& peers, Scheduler& scheduler, RelayChoice choice)
-    : m_impl(std::make_shared<Impl>(direct, peers, scheduler, std::move(choice)))
+RelayedStore::RelayedStore(Store& direct, HttpClient& peers, Scheduler& scheduler, RelayCallbacks relayCallbacks)
+    : m_impl(std::make_shared<Impl>(direct, peers, scheduler, std::move(relayCallbacks)))
 {
 }
 
@@ -422,12 +422,12 @@
             return;
         if (!listing.ok()) {
             logChange(LogLevel::Warning, "store_listing_failed", { { "detail", std::string(listing.status().message()) } });
-            impl->bootstrap(listing.status(), done);
+            impl->bootstrapFromPeer(listing.status(), done);
             return;
         }
         logChange(LogLevel::Info, "store_listed", { { "revision", listing->revision }, { "before", impl->mirror.revision() }, { "keys", listing->values.size() } });
-        impl->noteCurrent(askedAt);
-        impl->mirror.takeListing(*listing);
+        impl->recordCurrentAsOf(askedAt);
+        impl->mirror.applyListing(*listing);
         done(listing);
     });
 }
@@ -460,28 +460,28 @@
 namespace {
 
     /// Closes its watch on destruction.
-    template <typename Followed>
+    template <typename Watched>
     class RelayedWatch final : public StoreWatch {
     public:
-        explicit RelayedWatch(std::shared_ptr<Followed> followed)
-            : m_followed(std::move(followed))
+        explicit RelayedWatch(std::shared_ptr<Watched> watched)
+            : m_watched(std::move(watched))
         {
         }
-        ~RelayedWatch() override { m_followed->close(); }
+        ~RelayedWatch() override { m_watched->close(); }
         RelayedWatch(const RelayedWatch&) = delete;
         RelayedWatch& operator=(const RelayedWatch&) = delete;
 
     private:
-        std::shared_ptr<Followed> m_followed;
+        std::shared_ptr<Watched> m_watched;
     };
 
 } // namespace
 
 std::unique_ptr<StoreWatch> RelayedStore::watch(const std::string& prefix, StoreRevision firstRevision, StoreWatchCallbacks callbacks)
 {
-    auto following = std::make_shared<Impl::Following>(*m_impl, prefix, firstRevision - 1, std::move(callbacks));
-    following->follow();
-    return std::make_unique<RelayedWatch<Impl::Following>>(std::move(following));
+    auto subscription = std::make_shared<Impl::Subscription>(*m_impl, prefix, firstRevision - 1, std::move(callbacks));
+    subscription->selectSource();
+    return std::make_unique<RelayedWatch<Impl::Subscription>>(std::move(subscription));
 }
 
 void RelayedStore::answerPeer(const HttpRequest& request, std::shared_ptr<HttpResponder> responder)
@@ -489,17 +489,17 @@
     Impl& impl = *m_impl;
     const std::string* text = request.headers.find(changesAfterHeader);
     StoreRevision after = 0;
-    bool isAsked = text && absl::SimpleAtoi(*text, &after);
-    bool asksForAll = isAsked && after == 0 && impl.mirror.revision() > 0;
-    if (!asksForAll && (!isAsked || !impl.mayRelay())) {
+    bool isValid = text && absl::SimpleAtoi(*text, &after);
+    bool requestsAllKeys = isValid && after == 0 && impl.mirror.revision() > 0;
+    if (!requestsAllKeys && (!isValid || !impl.mayRelay())) {
         HttpResponseHead head;
         head.status = statusUnavailable;
         responder->send(head, "");
         return;
     }
-    bool hasNews = after < impl.mirror.revision();
-    bool isAtOnce = request.headers.find(changesAtOnceHeader) != nullptr;
-    if (after == 0 || (impl.heardAt && (hasNews || isAtOnce)))
+    bool hasChanges = after < impl.mirror.revision();
+    bool wantsImmediateAnswer = request.headers.find(changesAtOnceHeader) != nullptr;
+    if (after == 0 || (impl.storeAnsweredAt && (hasChanges || wantsImmediateAnswer)))
         impl.answer(*responder, after);
     else
         impl.waiters.push_back({ after, std::move(responder) });
--- a/lib/Ingress/StoreFollower.cpp
+++ b/lib/Ingress/StoreFollower.cpp
@@ -11,15 +11,15 @@
 /// Registrations that expired while the store was unreachable are written again
 /// within about two seconds of its recovery. Those still missing after this time
 /// are removed.
-static constexpr milliseconds missingGrace { 2'300 };
-static constexpr milliseconds firstRetry { 200 };
+static constexpr milliseconds missingGracePeriod { 2'300 };
+static constexpr milliseconds firstRetryDelay { 200 };
 /// Together with the grace period this stays below the five seconds that an entry
 /// has to recover. A shorter delay costs more calls, which are billed also while the
 /// store is unreachable.
-static constexpr milliseconds longestRetry { 1'500 };
+static constexpr milliseconds maxRetryDelay { 1'500 };
 /// The store client detects an unresponsive watch itself, so watches need no renewal
 /// and this interval is long.
-static constexpr std::chrono::hours renewWatches { 24 };
+static constexpr std::chrono::hours watchRenewalInterval { 24 };
 /// Min interval between log lines about registrations that can't be parsed.
 static constexpr milliseconds refusalLogInterval { 1'000 };
 
@@ -29,30 +29,30 @@
 {
     ConfigSourceOptions options;
     options.prefix = "";
-    options.retryDelay = firstRetry;
-    options.longestRetryDelay = longestRetry;
-    options.renewWatchEvery = renewWatches;
+    options.retryDelay = firstRetryDelay;
+    options.longestRetryDelay = maxRetryDelay;
+    options.renewWatchEvery = watchRenewalInterval;
     return options;
 }
 
 StoreFollower::StoreFollower(Store& store, Scheduler& scheduler, Random& random, std::string entryPrefix, IngressParts& parts,
-    std::function<void(const std::string& key)> onEntryGone)
+    std::function<void(const std::string& key)> onEntryRemoved)
     : m_scheduler(scheduler)
     , m_dialect(parts.dialect)
     , m_parts(parts)
     , m_entryPrefix(std::move(entryPrefix))
-    , m_onEntryGone(std::move(onEntryGone))
+    , m_onEntryRemoved(std::move(onEntryRemoved))
     , m_source(store, scheduler, random, sourceOptions(), [this](const std::vector<ConfigChange>& changes) {
         for (const ConfigChange& change : changes)
-            takeChange(change);
+            applyChange(change);
     })
 {
 }
 
-bool StoreFollower::isTroubled() const
+bool StoreFollower::isStoreUnstable() const
 {
     std::optional<TimePoint> reachedAt = m_source.reachedAt();
-    return !reachedAt || now() - std::max(*reachedAt, m_lastTrouble) < missingGrace;
+    return !reachedAt || now() - std::max(*reachedAt, m_lastHistoryGapAt) < missingGracePeriod;
 }
 
 void StoreFollower::houseKeep()
@@ -61,7 +61,7 @@
     if (isReached != m_wasReached)
         logChange(isReached ? LogLevel::Info : LogLevel::Warning, isReached ? "store_reached" : "store_lost", { { "revision", m_source.revision() } });
     m_wasReached = isReached;
-    if (isTroubled())
+    if (isStoreUnstable())
         return;
     // The grace period starts when the store recovers, however late a listing shows
     // which registrations are missing: the recovery time of an entry must be bounded.
@@ -69,21 +69,21 @@
     m_parts.entries.removeMissing(now());
 }
 
-void StoreFollower::takeChange(const ConfigChange& change)
+void StoreFollower::applyChange(const ConfigChange& change)
 {
     const StoreLayout& layout = m_dialect.layout;
     absl::string_view key = change.path;
     if (key == layout.configurationKey)
-        takeConfiguration(change);
+        applyConfiguration(change);
     else if (absl::ConsumePrefix(&key, layout.evacuationPrefix))
-        takeEvacuation(std::string(key), change.text.has_value());
+        applyEvacuation(std::string(key), change.text.has_value());
     else if (absl::ConsumePrefix(&key, layout.endpointPrefix))
-        takeEndpoint(std::string(key), change);
+        applyEndpoint(std::string(key), change);
     else if (absl::ConsumePrefix(&key, m_entryPrefix))
-        takeEntry(std::string(key), change);
+        applyEntry(std::string(key), change);
 }
 
-void StoreFollower::takeEvacuation(const std::string& zone, bool isEvacuated)
+void StoreFollower::applyEvacuation(const std::string& zone, bool isEvacuated)
 {
     if (isEvacuated)
         m_evacuatedZones.insert(zone);
@@ -94,7 +94,7 @@
 
 // A version that isn't newer or can't be parsed is ignored; the current one stays in
 // force.
-void StoreFollower::takeConfiguration(const ConfigChange& change)
+void StoreFollower::applyConfiguration(const ConfigChange& change)
 {
     if (!change.text) {
         logChange(LogLevel::Warning, "configuration_deleted", { { "revision", change.revision } });
@@ -105,18 +105,18 @@
         logChange(LogLevel::Error, "configuration_refused", { { "revision", change.revision }, { "at", fault.pointer }, { "fault", fault.message } });
     if (!table.ok())
         return;
-    std::int64_t inForce = m_parts.routes ? m_parts.routes->version() : 0;
-    if (m_parts.routes && table.document->version() <= inForce)
+    std::int64_t currentVersion = m_parts.routes ? m_parts.routes->version() : 0;
+    if (m_parts.routes && table.document->version() <= currentVersion)
         return;
     logChange(LogLevel::Info, "configuration_in_force",
-        { { "version", table.document->version() }, { "before", inForce }, { "revision", change.revision }, { "routes", table.document->routes().size() } });
+        { { "version", table.document->version() }, { "before", currentVersion }, { "revision", change.revision }, { "routes", table.document->routes().size() } });
     m_parts.routes = std::make_shared<const RouteTable>(std::move(*table.document));
 }
 
-void StoreFollower::takeEndpoint(const std::string& incarnation, const ConfigChange& change)
+void StoreFollower::applyEndpoint(const std::string& incarnation, const ConfigChange& change)
 {
     if (!change.text) {
-        if (isTroubled())
+        if (isStoreUnstable())
             m_parts.endpoints.noteMissing(incarnation);
         else
             m_parts.endpoints.remove(incarnation, now());
@@ -126,12 +126,12 @@
     if (record.ok())
         m_parts.endpoints.put(std::move(*record), now());
     else
-        refuseEndpoint(incarnation, record.status());
+        rejectEndpoint(incarnation, record.status());
 }
 
 // The rate of log lines is limited, since other writers can write invalid
 // registrations at any rate.
-void StoreFollower::refuseEndpoint(const std::string& incarnation, const absl::Status& fault)
+void StoreFollower::rejectEndpoint(const std::string& incarnation, const absl::Status& fault)
 {
     m_parts.endpoints.noteUnreadable(incarnation);
     m_parts.metrics.count("endpoint_registrations_refused");
@@ -141,11 +141,11 @@
     logChange(LogLevel::Error, "endpoint_refused", { { "endpoint", incarnation }, { "fault", std::string(fault.message()) } });
 }
 
-void StoreFollower::takeEntry(const std::string& name, const ConfigChange& change)
+void StoreFollower::applyEntry(const std::string& name, const ConfigChange& change)
 {
     if (!change.text) {
-        m_onEntryGone(change.path);
-        if (isTroubled())
+        m_onEntryRemoved(change.path);
+        if (isStoreUnstable())
             m_parts.entries.noteMissing(name);
         else
             m_parts.entries.remove(name, now());
--- a/lib/Ingress/StoreMirror.cpp
+++ b/lib/Ingress/StoreMirror.cpp
@@ -14,33 +14,33 @@
 // After a compaction the events since the last received one are lost, and every entry
 // that waits at this one would have to list the store. Their net effect follows from
 // the listing: the keys written since, and the keys that no longer exist.
-void StoreMirror::noteDifferences(const StoreListing& listing)
+void StoreMirror::recordDifferences(const StoreListing& listing)
 {
     std::vector<StoreChange> changes;
-    std::map<std::string, StoredValue> gone = std::exchange(m_values, {});
+    std::map<std::string, StoredValue> removed = std::exchange(m_values, {});
     for (const StoredValue& value : listing.values) {
         if (value.revision > m_revision)
             changes.push_back({ value.key, value.value, value.revision, false });
-        gone.erase(value.key);
+        removed.erase(value.key);
         m_values[value.key] = value;
     }
-    for (const auto& [key, value] : gone)
+    for (const auto& [key, value] : removed)
         changes.push_back({ key, "", listing.revision, true });
     std::stable_sort(changes.begin(), changes.end(), [](const StoreChange& a, const StoreChange& b) { return a.revision < b.revision; });
     m_changes.insert(m_changes.end(), changes.begin(), changes.end());
 }
 
-void StoreMirror::takeListing(const StoreListing& listing)
+void StoreMirror::applyListing(const StoreListing& listing)
 {
     if (listing.revision < m_revision)
         return;
     bool isFirst = m_revision == 0;
-    noteDifferences(listing);
+    recordDifferences(listing);
     // The differences cover only the last gap. An entry whose revision is before an
     // earlier gap would miss changes.
-    if (m_listedAfter < m_listedRevision)
+    if (m_revisionBeforeListing < m_listedRevision)
         m_completeAfter = std::max(m_completeAfter, m_listedRevision);
-    m_listedAfter = m_revision;
+    m_revisionBeforeListing = m_revision;
     m_revision = listing.revision;
     m_listedRevision = listing.revision;
     if (isFirst) {
@@ -50,7 +50,7 @@
     trim();
 }
 
-void StoreMirror::takeEvents(const std::vector<StoreEvent>& events)
+void StoreMirror::applyEvents(const std::vector<StoreEvent>& events)
 {
     for (const StoreEvent& event : events) {
         const StoredValue& current = event.current;
@@ -75,7 +75,7 @@
     }
 }
 
-StoreChanges StoreMirror::everything() const
+StoreChanges StoreMirror::allValues() const
 {
     StoreChanges all;
     all.revision = m_revision;
@@ -89,12 +89,12 @@
     if (m_revision == 0)
         return std::nullopt;
     if (revision == 0)
-        return everything();
+        return allValues();
     if (revision < m_completeAfter)
         return std::nullopt;
     // An entry whose revision is inside the gap may know keys that were created and
     // deleted in the gap, which the differences don't contain.
-    if (m_listedAfter < revision && revision < m_listedRevision)
+    if (m_revisionBeforeListing < revision && revision < m_listedRevision)
         return std::nullopt;
     StoreChanges changes;
     // The requesting entry may be at a later revision than this one.
--- a/unittests/Ingress/RelayedStoreTest.cpp
+++ b/unittests/Ingress/RelayedStoreTest.cpp
@@ -15,9 +15,9 @@
 
 /// An entry with its own store client, which other entries reach through a PeerNetwork.
 struct RelayEntry {
-    RelayEntry(FakeStore& shared, ManualScheduler& scheduler, HttpClient& peers, RelayChoice choice)
+    RelayEntry(FakeStore& shared, ManualScheduler& scheduler, HttpClient& peers, RelayCallbacks callbacks)
         : direct(shared.clientOn(scheduler))
-        , store(*direct, peers, scheduler, std::move(choice))
+        , store(*direct, peers, scheduler, std::move(callbacks))
     {
     }
 
@@ -35,14 +35,14 @@
                                             for (const StoreEvent& event : events)
                                                 seen.push_back(event.current.key);
                                         },
-                                           [this](const absl::Status&) { ++ends; } });
+                                           [this](const absl::Status&) { ++watchEnds; } });
     }
 
     std::unique_ptr<Store> direct;
     RelayedStore store;
     std::unique_ptr<StoreWatch> watch;
     std::vector<std::string> seen;
-    int ends { 0 };
+    int watchEnds { 0 };
 };
 
 /// Delivers requests between entries; the port of an address is the index of the entry.
@@ -62,20 +62,20 @@
 
     std::shared_ptr<HttpExchange> send(HttpClientRequest request, HttpClientCallbacks callbacks) override
     {
-        ++questions;
+        ++requests;
         auto exchange = std::make_shared<Exchange>();
         auto responder = std::make_shared<FakeResponder>();
         RelayEntry* entry = request.server.port < entries.size() ? entries[request.server.port] : nullptr;
-        if (!entry || isCut) {
-            scheduler.callAfter(isSilent ? Duration(request.headTimeout) : Duration(1ms), [exchange, callbacks] {
+        if (!entry || isUnreachable) {
+            scheduler.callAfter(isUnresponsive ? Duration(request.headTimeout) : Duration(1ms), [exchange, callbacks] {
                 if (!exchange->isCancelled)
-                    callbacks.onEnd({ HttpEnd::NoResponse, true, "cut" });
+                    callbacks.onEnd({ HttpEnd::NoResponse, true, "unreachable" });
             });
             return exchange;
         }
-        HttpRequest asked;
-        asked.headers = request.headers;
-        entry->store.answerPeer(asked, responder);
+        HttpRequest peerRequest;
+        peerRequest.headers = request.headers;
+        entry->store.answerPeer(peerRequest, responder);
         poll(exchange, responder, callbacks);
         return exchange;
     }
@@ -99,14 +99,14 @@
 
     ManualScheduler& scheduler;
     std::vector<RelayEntry*> entries;
-    int questions { 0 };
-    bool isCut { false };
-    bool isSilent { false };
+    int requests { 0 };
+    bool isUnreachable { false };
+    bool isUnresponsive { false };
 };
 
 /// Two entries, of which the second uses the first as its relay.
-struct RelayWorld {
-    RelayWorld()
+struct RelayFixture {
+    RelayFixture()
     {
         network.entries = { &relay, &follower };
         relay.start();
@@ -115,25 +115,25 @@
         scheduler.advance(50ms);
     }
 
-    RelayChoice asking(std::uint16_t port)
+    RelayCallbacks withRelay(std::uint16_t port)
     {
-        RelayChoice choice;
-        choice.relay = [this, port]() -> std::optional<SocketAddress> {
+        RelayCallbacks callbacks;
+        callbacks.findRelay = [this, port]() -> std::optional<SocketAddress> {
             if (!hasRelay)
                 return std::nullopt;
             return SocketAddress { "127.0.0.1", port };
         };
-        choice.noteFailure = [this](const SocketAddress&) { ++failures; };
-        choice.noteTrouble = [this] { ++troubles; };
-        return choice;
+        callbacks.recordRelayFailure = [this](const SocketAddress&) { ++failures; };
+        callbacks.recordHistoryGap = [this] { ++historyGaps; };
+        return callbacks;
     }
 
-    static RelayChoice askingNobody()
+    static RelayCallbacks withoutRelay()
     {
-        RelayChoice choice;
-        choice.relay = [] { return std::nullopt; };
-        choice.noteFailure = [](const SocketAddress&) {};
-        return choice;
+        RelayCallbacks callbacks;
+        callbacks.findRelay = [] { return std::nullopt; };
+        callbacks.recordRelayFailure = [](const SocketAddress&) {};
+        return callbacks;
     }
 
     ManualScheduler scheduler;
@@ -141,155 +141,155 @@
     PeerNetwork network { scheduler };
     bool hasRelay { true };
     int failures { 0 };
-    int troubles { 0 };
-    RelayEntry relay { shared, scheduler, network, askingNobody() };
-    RelayEntry follower { shared, scheduler, network, asking(0) };
+    int historyGaps { 0 };
+    RelayEntry relay { shared, scheduler, network, withoutRelay() };
+    RelayEntry follower { shared, scheduler, network, withRelay(0) };
 };
 
 } // namespace
 
 TEST_CASE("changes reach an entry through its relay in order and once")
 {
-    RelayWorld world;
+    RelayFixture fixture;
     for (int i = 0; i < 20; ++i) {
-        world.shared.put("key-" + std::to_string(i), "value");
-        world.scheduler.advance(i % 3 == 0 ? 700ms : 5ms);
+        fixture.shared.put("key-" + std::to_string(i), "value");
+        fixture.scheduler.advance(i % 3 == 0 ? 700ms : 5ms);
     }
-    world.scheduler.advance(2s);
-    CHECK(world.relay.store.isDirect());
-    CHECK_FALSE(world.follower.store.isDirect());
-    CHECK(world.follower.seen.size() == 20);
-    CHECK(world.follower.seen == world.relay.seen);
-    CHECK(world.failures == 0);
+    fixture.scheduler.advance(2s);
+    CHECK(fixture.relay.store.isDirect());
+    CHECK_FALSE(fixture.follower.store.isDirect());
+    CHECK(fixture.follower.seen.size() == 20);
+    CHECK(fixture.follower.seen == fixture.relay.seen);
+    CHECK(fixture.failures == 0);
 }
 
 TEST_CASE("an entry whose relay is unreachable or unresponsive watches the store directly in time, and uses the relay again later")
 {
-    for (bool isSilent : { false, true }) {
-        RelayWorld world;
-        world.network.isSilent = isSilent;
-        world.network.isCut = true;
-        world.scheduler.advance(3'500ms);
-        CHECK(world.follower.store.isDirect());
-        world.shared.put("while-cut", "value");
-        world.scheduler.advance(100ms);
-        CHECK(world.follower.seen == std::vector<std::string> { "while-cut" });
-        world.network.isCut = false;
-        world.scheduler.advance(5s);
-        CHECK_FALSE(world.follower.store.isDirect());
-        world.shared.put("after", "value");
-        world.scheduler.advance(100ms);
-        CHECK(world.follower.seen.back() == "after");
-        CHECK(world.follower.ends == 0);
+    for (bool isUnresponsive : { false, true }) {
+        RelayFixture fixture;
+        fixture.network.isUnresponsive = isUnresponsive;
+        fixture.network.isUnreachable = true;
+        fixture.scheduler.advance(3'500ms);
+        CHECK(fixture.follower.store.isDirect());
+        fixture.shared.put("while-cut", "value");
+        fixture.scheduler.advance(100ms);
+        CHECK(fixture.follower.seen == std::vector<std::string> { "while-cut" });
+        fixture.network.isUnreachable = false;
+        fixture.scheduler.advance(5s);
+        CHECK_FALSE(fixture.follower.store.isDirect());
+        fixture.shared.put("after", "value");
+        fixture.scheduler.advance(100ms);
+        CHECK(fixture.follower.seen.back() == "after");
+        CHECK(fixture.follower.watchEnds == 0);
     }
 }
 
 TEST_CASE("an entry that starts while the store is unreachable fetches all keys from another entry")
 {
-    RelayWorld world;
-    world.shared.put("key", "value");
-    world.scheduler.advance(1s);
-    world.shared.setDown(true);
-    world.scheduler.advance(3s);
-    RelayChoice choice = RelayWorld::askingNobody();
-    choice.bootstrap = [] { return SocketAddress { "127.0.0.1", 1 }; };
-    RelayEntry late(world.shared, world.scheduler, world.network, choice);
+    RelayFixture fixture;
+    fixture.shared.put("key", "value");
+    fixture.scheduler.advance(1s);
+    fixture.shared.setDown(true);
+    fixture.scheduler.advance(3s);
+    RelayCallbacks callbacks = RelayFixture::withoutRelay();
+    callbacks.findBootstrapPeer = [] { return SocketAddress { "127.0.0.1", 1 }; };
+    RelayEntry lateEntry(fixture.shared, fixture.scheduler, fixture.network, callbacks);
     std::optional<absl::StatusOr<StoreListing>> listing;
-    late.store.list("", [&](const absl::StatusOr<StoreListing>& listed) { listing = listed; });
-    world.scheduler.advance(3s);
+    lateEntry.store.list("", [&](const absl::StatusOr<StoreListing>& listed) { listing = listed; });
+    fixture.scheduler.advance(3s);
     REQUIRE(listing.has_value());
     REQUIRE(listing->ok());
     CHECK((*listing)->values.size() == 1);
     CHECK((*listing)->values[0].value == "value");
     // The entry has data now, so the next listing asks only the store.
-    int questions = world.network.questions;
-    late.store.list("", [&](const absl::StatusOr<StoreListing>& listed) { listing = listed; });
-    world.scheduler.advance(3s);
+    int requests = fixture.network.requests;
+    lateEntry.store.list("", [&](const absl::StatusOr<StoreListing>& listed) { listing = listed; });
+    fixture.scheduler.advance(3s);
     CHECK_FALSE(listing->ok());
-    CHECK(world.network.questions == questions);
+    CHECK(fixture.network.requests == requests);
 }
 
 // The data of another entry may be as old as the store's last answer to that entry.
 TEST_CASE("data fetched from another entry does not count as reaching the store")
 {
-    RelayWorld world;
-    world.shared.put("key", "value");
-    world.scheduler.advance(1s);
-    world.shared.setSilent(true);
-    world.scheduler.advance(3s);
-    RelayChoice choice = RelayWorld::askingNobody();
-    choice.bootstrap = [] { return SocketAddress { "127.0.0.1", 1 }; };
-    RelayEntry late(world.shared, world.scheduler, world.network, choice);
+    RelayFixture fixture;
+    fixture.shared.put("key", "value");
+    fixture.scheduler.advance(1s);
+    fixture.shared.setSilent(true);
+    fixture.scheduler.advance(3s);
+    RelayCallbacks callbacks = RelayFixture::withoutRelay();
+    callbacks.findBootstrapPeer = [] { return SocketAddress { "127.0.0.1", 1 }; };
+    RelayEntry lateEntry(fixture.shared, fixture.scheduler, fixture.network, callbacks);
     Random random(1);
     ConfigSourceOptions options;
     options.prefix = "";
-    ConfigSource source(late.store, world.scheduler, random, options, [](const std::vector<ConfigChange>&) {});
+    ConfigSource source(lateEntry.store, fixture.scheduler, random, options, [](const std::vector<ConfigChange>&) {});
     source.start();
     for (int i = 0; i < 50; ++i) {
-        world.scheduler.advance(100ms);
+        fixture.scheduler.advance(100ms);
         CHECK_FALSE(source.reachedAt());
     }
-    CHECK(source.revision() == world.shared.revision());
-    CHECK(late.store.age() > 5s);
-    world.shared.setSilent(false);
-    world.scheduler.advance(10s);
+    CHECK(source.revision() == fixture.shared.revision());
+    CHECK(lateEntry.store.age() > 5s);
+    fixture.shared.setSilent(false);
+    fixture.scheduler.advance(10s);
     CHECK(source.reachedAt());
-    CHECK(late.store.age() < 2s);
+    CHECK(lateEntry.store.age() < 2s);
 }
 
 TEST_CASE("the followers of a relay that lost its store watch watch the store directly")
 {
-    RelayWorld world;
-    world.relay.watch.reset();
-    world.scheduler.advance(2s);
-    CHECK(world.follower.store.isDirect());
-    CHECK(world.failures > 0);
-    world.shared.put("key", "value");
-    world.scheduler.advance(100ms);
-    CHECK(world.follower.seen == std::vector<std::string> { "key" });
+    RelayFixture fixture;
+    fixture.relay.watch.reset();
+    fixture.scheduler.advance(2s);
+    CHECK(fixture.follower.store.isDirect());
+    CHECK(fixture.failures > 0);
+    fixture.shared.put("key", "value");
+    fixture.scheduler.advance(100ms);
+    CHECK(fixture.follower.seen == std::vector<std::string> { "key" });
 }
 
 // ConfigSource closes a broken watch only after it has opened the next one.
 TEST_CASE("a relay whose watch broke and was opened again remains a relay")
 {
-    RelayWorld world;
+    RelayFixture fixture;
     for (int i = 0; i < 5; ++i) {
-        world.relay.follow(world.shared.revision() + 1);
-        world.scheduler.advance(2s);
+        fixture.relay.follow(fixture.shared.revision() + 1);
+        fixture.scheduler.advance(2s);
     }
-    CHECK(world.relay.store.isDirect());
-    CHECK_FALSE(world.follower.store.isDirect());
-    CHECK(world.failures == 0);
-    world.shared.put("key", "value");
-    world.scheduler.advance(100ms);
-    CHECK(world.follower.seen == std::vector<std::string> { "key" });
-    world.relay.watch.reset();
-    world.scheduler.advance(2s);
-    CHECK_FALSE(world.relay.store.isDirect());
-    CHECK(world.follower.store.isDirect());
+    CHECK(fixture.relay.store.isDirect());
+    CHECK_FALSE(fixture.follower.store.isDirect());
+    CHECK(fixture.failures == 0);
+    fixture.shared.put("key", "value");
+    fixture.scheduler.advance(100ms);
+    CHECK(fixture.follower.seen == std::vector<std::string> { "key" });
+    fixture.relay.watch.reset();
+    fixture.scheduler.advance(2s);
+    CHECK_FALSE(fixture.relay.store.isDirect());
+    CHECK(fixture.follower.store.isDirect());
 }
 
 TEST_CASE("after a compaction the followers of a relay receive the net effect of the lost events from it")
 {
-    RelayWorld world;
-    world.shared.put("stays", "1");
-    world.shared.put("goes", "1");
-    world.scheduler.advance(100ms);
-    std::size_t reads = world.shared.calls(StoreCallGroup::Read);
+    RelayFixture fixture;
+    fixture.shared.put("stays", "1");
+    fixture.shared.put("goes", "1");
+    fixture.scheduler.advance(100ms);
+    std::size_t reads = fixture.shared.calls(StoreCallGroup::Read);
     // The relay's watch is closed, so it misses these changes.
-    world.relay.watch.reset();
-    world.shared.put("stays", "2");
-    world.shared.erase("goes");
-    world.shared.put("new", "1");
-    world.shared.compact();
-    world.relay.start();
-    world.scheduler.advance(3s);
-    CHECK(world.follower.seen == std::vector<std::string> { "stays", "goes", "stays", "new", "goes" });
-    CHECK(world.troubles > 0);
-    CHECK_FALSE(world.follower.store.isDirect());
-    CHECK(world.follower.ends == 0);
+    fixture.relay.watch.reset();
+    fixture.shared.put("stays", "2");
+    fixture.shared.erase("goes");
+    fixture.shared.put("new", "1");
+    fixture.shared.compact();
+    fixture.relay.start();
+    fixture.scheduler.advance(3s);
+    CHECK(fixture.follower.seen == std::vector<std::string> { "stays", "goes", "stays", "new", "goes" });
+    CHECK(fixture.historyGaps > 0);
+    CHECK_FALSE(fixture.follower.store.isDirect());
+    CHECK(fixture.follower.watchEnds == 0);
     // One listing and one watch, both by the relay.
-    CHECK(world.shared.calls(StoreCallGroup::Read) == reads + 2);
+    CHECK(fixture.shared.calls(StoreCallGroup::Read) == reads + 2);
 }
 
 // If a key was created and deleted in the relay's gap, no change in the answer has the
@@ -297,46 +297,46 @@
 // its request at once, without end.
 TEST_CASE("a follower does not repeat its request for a revision without remaining changes")
 {
-    RelayWorld world;
-    world.shared.put("stays", "1");
-    world.scheduler.advance(100ms);
-    world.relay.watch.reset();
-    world.shared.put("passes", "1");
-    world.shared.erase("passes");
-    world.shared.compact();
-    world.relay.start();
-    world.scheduler.advance(1s);
-    int questions = world.network.questions;
-    world.scheduler.advance(6s);
-    CHECK(world.network.questions - questions <= 6);
-    CHECK_FALSE(world.follower.store.isDirect());
+    RelayFixture fixture;
+    fixture.shared.put("stays", "1");
+    fixture.scheduler.advance(100ms);
+    fixture.relay.watch.reset();
+    fixture.shared.put("passes", "1");
+    fixture.shared.erase("passes");
+    fixture.shared.compact();
+    fixture.relay.start();
+    fixture.scheduler.advance(1s);
+    int requests = fixture.network.requests;
+    fixture.scheduler.advance(6s);
+    CHECK(fixture.network.requests - requests <= 6);
+    CHECK_FALSE(fixture.follower.store.isDirect());
 }
 
 TEST_CASE("the followers of a relay that stops relaying watch the store directly at once")
 {
-    RelayWorld world;
-    world.relay.store.stopRelaying();
-    world.scheduler.advance(400ms);
-    CHECK(world.follower.store.isDirect());
+    RelayFixture fixture;
+    fixture.relay.store.stopRelaying();
+    fixture.scheduler.advance(400ms);
+    CHECK(fixture.follower.store.isDirect());
 }
 
 TEST_CASE("a mirror refuses a revision before its oldest change and answers a later one than its own with no changes")
 {
-    RelayWorld world;
+    RelayFixture fixture;
     StoreMirror mirror(4);
     StoreListing listing;
     listing.revision = 10;
     listing.values = { { "a", "1", 9 } };
-    mirror.takeListing(listing);
+    mirror.applyListing(listing);
     CHECK_FALSE(mirror.changesAfter(9));
     REQUIRE(mirror.changesAfter(10));
     CHECK(mirror.changesAfter(10)->changes.empty());
     CHECK(mirror.changesAfter(25)->revision == 25);
     for (StoreRevision revision = 11; revision <= 16; ++revision)
-        mirror.takeEvents({ { false, { "b", "2", revision } } });
+        mirror.applyEvents({ { false, { "b", "2", revision } } });
     CHECK_FALSE(mirror.changesAfter(11));
     CHECK(mirror.changesAfter(12)->changes.size() == 4);
-    mirror.takeEvents({ { true, { "a", "", 17 } } });
+    mirror.applyEvents({ { true, { "a", "", 17 } } });
     std::optional<StoreChanges> everything = mirror.changesAfter(0);
     REQUIRE(everything);
     CHECK(everything->revision == 17);
@@ -347,9 +347,9 @@
 TEST_CASE("a mirror that receives another listing returns the differences and ignores earlier events")
 {
     StoreMirror mirror;
-    mirror.takeListing({ { { "a", "1", 9 }, { "b", "1", 10 } }, 10 });
-    mirror.takeEvents({ { false, { "c", "1", 12 } } });
-    mirror.takeListing({ { { "a", "2", 15 }, { "c", "1", 12 } }, 20 });
+    mirror.applyListing({ { { "a", "1", 9 }, { "b", "1", 10 } }, 10 });
+    mirror.applyEvents({ { false, { "c", "1", 12 } } });
+    mirror.applyListing({ { { "a", "2", 15 }, { "c", "1", 12 } }, 20 });
     std::optional<StoreChanges> changes = mirror.changesAfter(10);
     REQUIRE(changes);
     CHECK(changes->revision == 20);
@@ -363,8 +363,8 @@
     CHECK(changes->changes[2].revision == 20);
     CHECK_FALSE(mirror.changesAfter(9));
     // Event from a resumed watch that is older than the listing, and an old listing.
-    mirror.takeEvents({ { false, { "b", "1", 18 } } });
-    mirror.takeListing({ {}, 15 });
+    mirror.applyEvents({ { false, { "b", "1", 18 } } });
+    mirror.applyListing({ {}, 15 });
     CHECK(mirror.changesAfter(0)->changes.size() == 2);
     CHECK(mirror.changesAfter(20)->changes.empty());
     CHECK_FALSE(mirror.changesAfter(20)->spansListing);
@@ -373,17 +373,17 @@
 TEST_CASE("a mirror with a gap in its history refuses a revision inside the gap")
 {
     StoreMirror mirror;
-    mirror.takeListing({ { { "a", "1", 9 } }, 10 });
+    mirror.applyListing({ { { "a", "1", 9 } }, 10 });
     // "b" was created at 13 and deleted at 16; the mirror received neither event.
-    mirror.takeListing({ { { "a", "2", 18 } }, 20 });
+    mirror.applyListing({ { { "a", "2", 18 } }, 20 });
     CHECK(mirror.changesAfter(10));
     CHECK_FALSE(mirror.changesAfter(11));
     CHECK_FALSE(mirror.changesAfter(13));
     CHECK_FALSE(mirror.changesAfter(19));
     CHECK(mirror.changesAfter(20));
     // A second gap doesn't make the first one known.
-    mirror.takeEvents({ { false, { "c", "1", 22 } } });
-    mirror.takeListing({ { { "a", "2", 18 } }, 30 });
+    mirror.applyEvents({ { false, { "c", "1", 22 } } });
+    mirror.applyListing({ { { "a", "2", 18 } }, 30 });
     CHECK_FALSE(mirror.changesAfter(13));
     CHECK(mirror.changesAfter(22));
     CHECK_FALSE(mirror.changesAfter(25));
--- a/unittests/Ingress/StoreFollowerTest.cpp
+++ b/unittests/Ingress/StoreFollowerTest.cpp
@@ -17,8 +17,8 @@
     RemoveEndpoint,
     EvacuateZone,
     Down,
-    Silent,
-    Heal,
+    Unresponsive,
+    Recover,
     Compact,
     LoseAnswer,
 };
@@ -46,16 +46,16 @@
 }
 
 /// The store, and the state that operators and endpoints have written to it.
-class WrittenStore {
+class ReferenceStore {
 public:
-    explicit WrittenStore(ManualScheduler& scheduler)
+    explicit ReferenceStore(ManualScheduler& scheduler)
         : store(scheduler)
     {
         store.put("configuration", "1");
         store.put("endpoints/first", "");
     }
 
-    void take(Step step)
+    void apply(Step step)
     {
         switch (step) {
         case Step::WriteConfiguration:
@@ -79,10 +79,10 @@
         case Step::Down:
             store.setDown(true);
             break;
-        case Step::Silent:
+        case Step::Unresponsive:
             store.setSilent(true);
             break;
-        case Step::Heal:
+        case Step::Recover:
             store.setDown(false);
             store.setSilent(false);
             break;
@@ -117,8 +117,8 @@
     std::size_t endpoints() const { return fixture.parts.endpoints.size(); }
 
     IngressFixture fixture;
-    WrittenStore written { fixture.scheduler };
-    std::unique_ptr<Store> client { written.store.clientOn(fixture.scheduler) };
+    ReferenceStore reference { fixture.scheduler };
+    std::unique_ptr<Store> client { reference.store.clientOn(fixture.scheduler) };
 };
 
 /// The StoreFollower that entries use.
@@ -137,9 +137,9 @@
 
 /// A follower with a fault: if its watch is out of range, it resumes at the current
 /// revision and never receives the missed changes.
-class ForgetfulFollower {
+class GapSkippingFollower {
 public:
-    explicit ForgetfulFollower(FollowedTables& tables)
+    explicit GapSkippingFollower(FollowedTables& tables)
         : m_tables(tables)
     {
         list(true);
@@ -147,23 +147,23 @@
     void houseKeep() { }
 
 private:
-    void list(bool takesValues)
+    void list(bool appliesValues)
     {
-        m_tables.client->list("", [this, takesValues](const absl::StatusOr<StoreListing>& listing) {
+        m_tables.client->list("", [this, appliesValues](const absl::StatusOr<StoreListing>& listing) {
             if (!listing.ok()) {
-                m_tables.fixture.scheduler.callAfter(200ms, [this, takesValues] { list(takesValues); });
+                m_tables.fixture.scheduler.callAfter(200ms, [this, appliesValues] { list(appliesValues); });
                 return;
             }
             for (const StoredValue& value : listing->values) {
-                if (takesValues)
-                    take(value);
+                if (appliesValues)
+                    apply(value);
             }
             follow(listing->revision + 1);
         });
     }
-    void take(const StoredValue& value)
+    void apply(const StoredValue& value)
     {
-        m_seen = std::max(m_seen, value.revision);
+        m_lastRevision = std::max(m_lastRevision, value.revision);
         if (value.key == "configuration")
             m_tables.fixture.parts.routes = std::make_shared<const RouteTable>(std::move(*readVersion(value.value).document));
         else if (absl::string_view(value.key).substr(0, 10) == "endpoints/")
@@ -177,34 +177,34 @@
                 if (event.isDeletion)
                     m_tables.fixture.parts.endpoints.remove(event.current.key.substr(10), m_tables.fixture.scheduler.clock().now());
                 else
-                    take(event.current);
+                    apply(event.current);
             }
         };
         callbacks.onEnd = [this](const absl::Status& status) {
-            bool isForgotten = absl::IsOutOfRange(status);
-            m_tables.fixture.scheduler.callAfter(200ms, [this, isForgotten] { isForgotten ? list(false) : follow(m_seen + 1); });
+            bool isOutOfRange = absl::IsOutOfRange(status);
+            m_tables.fixture.scheduler.callAfter(200ms, [this, isOutOfRange] { isOutOfRange ? list(false) : follow(m_lastRevision + 1); });
         };
         m_watch = m_tables.client->watch("", first, std::move(callbacks));
     }
 
     FollowedTables& m_tables;
-    StoreRevision m_seen { 0 };
+    StoreRevision m_lastRevision { 0 };
     std::unique_ptr<StoreWatch> m_watch;
 };
 
 /// Advances time by \p span and checks the version every 50 ms; returns the fault found,
 /// or an empty string.
 template <typename AnyFollower>
-std::string pass(FollowedTables& tables, AnyFollower& follower, Duration span)
+std::string advanceAndCheck(FollowedTables& tables, AnyFollower& follower, Duration span)
 {
-    constexpr Duration moment = 50ms;
-    for (Duration passed {}; passed < span; passed += moment) {
+    constexpr Duration checkInterval = 50ms;
+    for (Duration passed {}; passed < span; passed += checkInterval) {
         std::int64_t before = tables.version();
-        tables.fixture.scheduler.advance(moment);
+        tables.fixture.scheduler.advance(checkInterval);
         follower.houseKeep();
         if (tables.version() < before)
             return "the version in force decreased";
-        if (tables.version() > tables.written.version)
+        if (tables.version() > tables.reference.version)
             return "the version in force was never written";
     }
     return "";
@@ -213,38 +213,38 @@
 /// Applies the steps, removes all faults and advances time by \p span; returns the fault
 /// found, or an empty string.
 template <typename AnyFollower>
-std::string play(const std::vector<Step>& steps, Duration span)
+std::string runSchedule(const std::vector<Step>& steps, Duration span)
 {
     FollowedTables tables;
     AnyFollower follower(tables);
-    std::string fault = pass(tables, follower, 100ms);
+    std::string fault = advanceAndCheck(tables, follower, 100ms);
     for (Step step : steps) {
-        tables.written.take(step);
+        tables.reference.apply(step);
         if (fault.empty())
-            fault = pass(tables, follower, 300ms);
+            fault = advanceAndCheck(tables, follower, 300ms);
     }
-    tables.written.take(Step::Heal);
+    tables.reference.apply(Step::Recover);
     if (fault.empty())
-        fault = pass(tables, follower, span);
+        fault = advanceAndCheck(tables, follower, span);
     if (!fault.empty())
         return fault;
-    if (tables.version() != tables.written.version)
+    if (tables.version() != tables.reference.version)
         return "the latest version is not in force";
-    return tables.endpoints() == tables.written.endpoints ? "" : "the number of endpoints differs from the store's";
+    return tables.endpoints() == tables.reference.endpoints ? "" : "the number of endpoints differs from the store's";
 }
 
 template <typename AnyFollower>
-int countFaulty(int steps)
+int countFaultySchedules(int steps)
 {
     int schedules = 1;
     for (int i = 0; i < steps; ++i)
         schedules *= stepKinds;
     int faulty = 0;
     for (int schedule = 0; schedule < schedules; ++schedule) {
-        std::vector<Step> taken;
+        std::vector<Step> sequence;
         for (int i = 0, rest = schedule; i < steps; ++i, rest /= stepKinds)
-            taken.push_back(static_cast<Step>(rest % stepKinds));
-        std::string fault = play<AnyFollower>(taken, 8s);
+            sequence.push_back(static_cast<Step>(rest % stepKinds));
+        std::string fault = runSchedule<AnyFollower>(sequence, 8s);
         if (fault.empty())
             continue;
         ++faulty;
@@ -260,12 +260,12 @@
 
 TEST_CASE("over all sequences of three faults and changes versions only increase and the tables reach the state of the store")
 {
-    CHECK(countFaulty<Follower>(3) == 0);
+    CHECK(countFaultySchedules<Follower>(3) == 0);
 }
 
 TEST_CASE("the check detects a follower that skips missed changes")
 {
-    CHECK(countFaulty<ForgetfulFollower>(3) > 0);
+    CHECK(countFaultySchedules<GapSkippingFollower>(3) > 0);
 }
 
 TEST_CASE("over long seeded sequences of faults and changes the tables reach the state of the store")
@@ -276,7 +276,7 @@
         for (Step& step : steps)
             step = static_cast<Step>(random.below(stepKinds));
         // Each answer that is still to be lost takes a call timeout and a retry delay.
-        std::string fault = play<Follower>(steps, 40s);
+        std::string fault = runSchedule<Follower>(steps, 40s);
         CAPTURE(schedule, fault);
         CHECK(fault.empty());
     }
@@ -289,26 +289,26 @@
     for (bool isCompacted : { false, true }) {
         FollowedTables tables;
         Follower follower(tables);
-        tables.written.take(Step::AddEndpoint);
-        CHECK(pass(tables, follower, 5s).empty());
+        tables.reference.apply(Step::AddEndpoint);
+        CHECK(advanceAndCheck(tables, follower, 5s).empty());
         REQUIRE(tables.endpoints() == 2);
-        tables.written.take(Step::Down);
-        CHECK(pass(tables, follower, 4s).empty());
-        tables.written.store.erase("endpoints/first");
-        tables.written.store.erase("endpoints/1");
+        tables.reference.apply(Step::Down);
+        CHECK(advanceAndCheck(tables, follower, 4s).empty());
+        tables.reference.store.erase("endpoints/first");
+        tables.reference.store.erase("endpoints/1");
         if (isCompacted)
-            tables.written.take(Step::Compact);
-        tables.written.take(Step::Heal);
+            tables.reference.apply(Step::Compact);
+        tables.reference.apply(Step::Recover);
         for (int i = 0; i < 40; ++i) {
-            CHECK(pass(tables, follower, 50ms).empty());
+            CHECK(advanceAndCheck(tables, follower, 50ms).empty());
             CHECK(tables.endpoints() == 2);
         }
-        tables.written.store.put("endpoints/first", "");
-        CHECK(pass(tables, follower, 2'500ms).empty());
+        tables.reference.store.put("endpoints/first", "");
+        CHECK(advanceAndCheck(tables, follower, 2'500ms).empty());
         CHECK(tables.endpoints() == 1);
         // The store is stable again: a deleted registration is removed at once.
-        tables.written.store.erase("endpoints/first");
-        CHECK(pass(tables, follower, 300ms).empty());
+        tables.reference.store.erase("endpoints/first");
+        CHECK(advanceAndCheck(tables, follower, 300ms).empty());
         CHECK(tables.endpoints() == 0);
     }
 }
--- a/unittests/Ingress/StoreFreshnessTest.cpp
+++ b/unittests/Ingress/StoreFreshnessTest.cpp
@@ -12,48 +12,48 @@
 /// A healthy entry sends no request to a leaving endpoint after this time.
 constexpr Duration leavingBound = 3s;
 /// Time that an entry has to recover from a fault before the bounds hold again.
-constexpr Duration calmBound = 5s;
+constexpr Duration recoveryBound = 5s;
 
 /// How an endpoint leaves while an entry can't receive changes.
 struct Departure {
     bool isAnnounced;
-    bool isHistoryForgotten;
+    bool isHistoryCompacted;
 };
 
 /// Returns for how long an entry still uses a departed endpoint after the entry's fault
 /// has ended.
-Duration usedAfterCut(EntryFault fault, Duration cut, Departure departure)
+Duration useTimeAfterFault(EntryFault fault, Duration outage, Departure departure)
 {
     StoreZone zone(1);
     zone.registerEndpoint("stays");
     zone.registerEndpoint("leaves");
-    zone.pass(6s);
+    zone.advance(6s);
     REQUIRE(zone.uses(0, "leaves"));
     zone.setFault(0, fault);
-    zone.pass(cut / 2);
+    zone.advance(outage / 2);
     if (departure.isAnnounced)
         zone.registerEndpoint("leaves", true);
     else
         zone.store().erase("endpoints/leaves");
-    if (departure.isHistoryForgotten)
+    if (departure.isHistoryCompacted)
         zone.store().compact();
-    zone.pass(cut / 2);
+    zone.advance(outage / 2);
     zone.setFault(0, EntryFault::None);
-    TimePoint returned = zone.now();
-    while (zone.uses(0, "leaves") && zone.now() - returned < 20s)
-        zone.pass(50ms);
+    TimePoint recoveredAt = zone.now();
+    while (zone.uses(0, "leaves") && zone.now() - recoveredAt < 20s)
+        zone.advance(50ms);
     CHECK(zone.uses(0, "stays"));
-    return zone.now() - returned;
+    return zone.now() - recoveredAt;
 }
 
-Duration longestUsedAfterCut(Departure departure)
+Duration maxUseTimeAfterFault(Departure departure)
 {
-    Duration longest {};
-    for (EntryFault fault : { EntryFault::StoreSilent, EntryFault::StoreRefuses, EntryFault::CutOff }) {
-        for (Duration cut = 6s; cut < 14s; cut += 190ms)
-            longest = std::max(longest, usedAfterCut(fault, cut, departure));
+    Duration maxTime {};
+    for (EntryFault fault : { EntryFault::StoreUnresponsive, EntryFault::StoreRefuses, EntryFault::Partitioned }) {
+        for (Duration outage = 6s; outage < 14s; outage += 190ms)
+            maxTime = std::max(maxTime, useTimeAfterFault(fault, outage, departure));
     }
-    return longest;
+    return maxTime;
 }
 
 } // namespace
@@ -67,42 +67,42 @@
 // listing, and these schedules exceeded the bound.
 TEST_CASE("an entry that was partitioned from the store stops using departed endpoints within its recovery time")
 {
-    CHECK(longestUsedAfterCut({ true, false }) < calmBound);
-    CHECK(longestUsedAfterCut({ false, false }) < calmBound);
-    CHECK(longestUsedAfterCut({ true, true }) < calmBound);
-    CHECK(longestUsedAfterCut({ false, true }) < calmBound);
+    CHECK(maxUseTimeAfterFault({ true, false }) < recoveryBound);
+    CHECK(maxUseTimeAfterFault({ false, false }) < recoveryBound);
+    CHECK(maxUseTimeAfterFault({ true, true }) < recoveryBound);
+    CHECK(maxUseTimeAfterFault({ false, true }) < recoveryBound);
 }
 
 namespace {
 
-struct Trouble {
+struct InjectedFault {
     std::size_t entry;
     EntryFault fault;
 };
 
-/// Injects the faults at intervals of \p apart, each while the earlier ones last, and
-/// marks an endpoint as leaving \p until later. Returns whether every healthy entry stops
+/// Injects the faults at intervals of \p interval, each while the earlier ones last, and
+/// marks an endpoint as leaving \p departureDelay later. Returns whether every healthy entry stops
 /// using it in time.
-bool isKnownInTime(std::size_t entries, const std::vector<Trouble>& troubles, Duration apart, Duration until)
+bool isDepartureKnownInTime(std::size_t entries, const std::vector<InjectedFault>& faults, Duration interval, Duration departureDelay)
 {
     StoreZone zone(entries);
     zone.registerEndpoint("leaves");
-    zone.pass(calmBound + 1s);
-    for (const Trouble& trouble : troubles) {
-        zone.setFault(trouble.entry, trouble.fault);
-        zone.pass(apart);
+    zone.advance(recoveryBound + 1s);
+    for (const InjectedFault& injected : faults) {
+        zone.setFault(injected.entry, injected.fault);
+        zone.advance(interval);
     }
-    zone.pass(until);
+    zone.advance(departureDelay);
     zone.registerEndpoint("leaves", true);
-    zone.pass(leavingBound);
+    zone.advance(leavingBound);
     for (std::size_t entry = 0; entry < entries; ++entry) {
-        if (zone.hasBeenCalm(entry, calmBound + leavingBound) && zone.uses(entry, "leaves"))
+        if (zone.hasBeenHealthy(entry, recoveryBound + leavingBound) && zone.uses(entry, "leaves"))
             return false;
     }
     return true;
 }
 
-constexpr EntryFault allFaults[] = { EntryFault::StoreSilent, EntryFault::StoreRefuses, EntryFault::CutOff, EntryFault::Frozen, EntryFault::Killed };
+constexpr EntryFault allFaults[] = { EntryFault::StoreUnresponsive, EntryFault::StoreRefuses, EntryFault::Partitioned, EntryFault::Paused, EntryFault::Killed };
 
 } // namespace
 
@@ -116,11 +116,11 @@
 TEST_CASE("a healthy entry stops using a leaving endpoint in time, whatever fault another entry has")
 {
     for (std::size_t entries = 2; entries <= 4; ++entries) {
-        for (std::size_t troubled = 0; troubled < entries; ++troubled) {
+        for (std::size_t faultyEntry = 0; faultyEntry < entries; ++faultyEntry) {
             for (EntryFault fault : allFaults) {
-                for (Duration until = 0ms; until < 4s; until += 130ms) {
-                    CAPTURE(entries, troubled, static_cast<int>(fault), until.count());
-                    CHECK(isKnownInTime(entries, { { troubled, fault } }, 0ms, until));
+                for (Duration departureDelay = 0ms; departureDelay < 4s; departureDelay += 130ms) {
+                    CAPTURE(entries, faultyEntry, static_cast<int>(fault), departureDelay.count());
+                    CHECK(isDepartureKnownInTime(entries, { { faultyEntry, fault } }, 0ms, departureDelay));
                 }
             }
         }
@@ -133,9 +133,9 @@
         for (std::size_t pair = 0; pair < entries * entries; ++pair) {
             for (EntryFault first : allFaults) {
                 for (EntryFault second : allFaults) {
-                    for (Duration apart : { 300ms, 1'300ms }) {
-                        CAPTURE(entries, pair, static_cast<int>(first), static_cast<int>(second), apart.count());
-                        CHECK(isKnownInTime(entries, { { pair / entries, first }, { pair % entries, second } }, apart, 100ms));
+                    for (Duration interval : { 300ms, 1'300ms }) {
+                        CAPTURE(entries, pair, static_cast<int>(first), static_cast<int>(second), interval.count());
+                        CHECK(isDepartureKnownInTime(entries, { { pair / entries, first }, { pair % entries, second } }, interval, 100ms));
                     }
                 }
             }
@@ -146,13 +146,13 @@
 namespace {
 
 /// A zone where endpoints leave while entries fail and recover at random.
-class RestlessZone {
+class RandomFaultZone {
 public:
-    RestlessZone(std::size_t entries, std::uint64_t seed)
+    RandomFaultZone(std::size_t entries, std::uint64_t seed)
         : m_zone(entries)
         , m_random(seed)
     {
-        m_zone.pass(calmBound + 1s);
+        m_zone.advance(recoveryBound + 1s);
     }
 
     /// Returns false if an entry that has been healthy for long used a departed endpoint
@@ -161,45 +161,45 @@
     {
         constexpr int kinds = static_cast<int>(EntryFault::Killed) + 1;
         auto entry = static_cast<std::size_t>(m_random.below(m_zone.size()));
-        bool isHealed = m_random.below(2) == 0;
-        m_zone.setFault(entry, isHealed ? EntryFault::None : static_cast<EntryFault>(m_random.below(kinds)));
+        bool isRecovered = m_random.below(2) == 0;
+        m_zone.setFault(entry, isRecovered ? EntryFault::None : static_cast<EntryFault>(m_random.below(kinds)));
         if (m_random.below(8) == 0) {
             m_zone.store().compact();
-            m_storeTroubledAt = m_zone.now();
+            m_storeFaultAt = m_zone.now();
         }
-        endpointLeaves();
+        replaceEndpoint();
         for (Duration left = std::chrono::milliseconds(m_random.below(4'000)); left > Duration::zero(); left -= 100ms) {
-            m_zone.pass(100ms);
-            if (!isSound())
+            m_zone.advance(100ms);
+            if (!areBoundsMet())
                 return false;
         }
         return true;
     }
 
 private:
-    void endpointLeaves()
+    void replaceEndpoint()
     {
-        std::string name = "endpoint-" + std::to_string(m_left.size());
-        if (!m_left.empty()) {
-            std::string leaving = "endpoint-" + std::to_string(m_left.size() - 1);
+        std::string name = "endpoint-" + std::to_string(m_leftAt.size());
+        if (!m_leftAt.empty()) {
+            std::string leaving = "endpoint-" + std::to_string(m_leftAt.size() - 1);
             if (m_random.below(2) == 0)
                 m_zone.registerEndpoint(leaving, true);
             else
                 m_zone.store().erase("endpoints/" + leaving);
-            m_left.back() = m_zone.now();
+            m_leftAt.back() = m_zone.now();
         }
         m_zone.registerEndpoint(name);
-        m_left.push_back(TimePoint::max());
+        m_leftAt.push_back(TimePoint::max());
     }
 
-    bool isSound() const
+    bool areBoundsMet() const
     {
-        bool isStoreCalm = m_zone.now() - m_storeTroubledAt > calmBound;
+        bool isStoreStable = m_zone.now() - m_storeFaultAt > recoveryBound;
         for (std::size_t entry = 0; entry < m_zone.size(); ++entry) {
-            if (!isStoreCalm || !m_zone.hasBeenCalm(entry, calmBound))
+            if (!isStoreStable || !m_zone.hasBeenHealthy(entry, recoveryBound))
                 continue;
-            for (std::size_t i = 0; i + 1 < m_left.size(); ++i) {
-                if (m_zone.now() - m_left[i] > leavingBound && m_zone.uses(entry, "endpoint-" + std::to_string(i)))
+            for (std::size_t i = 0; i + 1 < m_leftAt.size(); ++i) {
+                if (m_zone.now() - m_leftAt[i] > leavingBound && m_zone.uses(entry, "endpoint-" + std::to_string(i)))
                     return false;
             }
         }
@@ -209,8 +209,8 @@
     StoreZone m_zone;
     Random m_random;
     /// When each endpoint left; the last endpoint is still in use.
-    std::vector<TimePoint> m_left;
-    TimePoint m_storeTroubledAt {};
+    std::vector<TimePoint> m_leftAt;
+    TimePoint m_storeFaultAt {};
 };
 
 } // namespace
@@ -224,7 +224,7 @@
 TEST_CASE("over seeded sequences of faults no entry that has been healthy for long uses a departed endpoint")
 {
     for (std::uint64_t seed = 0; seed < 200; ++seed) {
-        RestlessZone zone(2 + seed % 3, seed);
+        RandomFaultZone zone(2 + seed % 3, seed);
         for (int step = 0; step < 30; ++step) {
             CAPTURE(seed, step);
             REQUIRE(zone.step());
@@ -237,9 +237,9 @@
     for (Duration latency : { 20ms, 250ms }) {
         StoreZone zone(4);
         zone.store().setLatency(latency);
-        zone.pass(10s);
+        zone.advance(10s);
         std::size_t calls = zone.store().calls(StoreCallGroup::Read);
-        zone.pass(60s);
+        zone.advance(60s);
         std::size_t direct = 0;
         for (std::size_t entry = 0; entry < zone.size(); ++entry)
             direct += zone.isDirect(entry) ? 1 : 0;
--- a/unittests/Ingress/StoreZone.cpp
+++ b/unittests/Ingress/StoreZone.cpp
@@ -13,11 +13,11 @@
 static constexpr milliseconds refusalTime { 10 };
 static constexpr milliseconds storeLatency { 20 };
 /// Interval at which the fakes check for changes.
-static constexpr milliseconds look { 10 };
+static constexpr milliseconds pollInterval { 10 };
 static constexpr milliseconds houseKeepingInterval { 250 };
 static constexpr std::uint16_t firstPort = 100;
 
-static std::string nameOf(std::size_t entry)
+static std::string entryName(std::size_t entry)
 {
     return "entry-" + std::to_string(entry);
 }
@@ -35,7 +35,7 @@
 
     void list(const std::string& prefix, ListCallback done) override
     {
-        if (isSound()) {
+        if (reachesStore()) {
             m_client->list(prefix, std::move(done));
             return;
         }
@@ -60,8 +60,8 @@
 
     EntryFault fault() const { return m_zone.m_entries[m_entry].fault; }
     bool refuses() const { return fault() == EntryFault::StoreRefuses; }
-    bool isSound() const { return fault() == EntryFault::None || fault() == EntryFault::Frozen; }
-    void lookAfter(const std::shared_ptr<Watch>& watch);
+    bool reachesStore() const { return fault() == EntryFault::None || fault() == EntryFault::Paused; }
+    void poll(const std::shared_ptr<Watch>& watch);
     void deliver(Watch& watch);
 
     StoreZone& m_zone;
@@ -85,7 +85,7 @@
     StoreWatchCallbacks callbacks;
     std::unique_ptr<StoreWatch> inner;
     TimePoint askedAt {};
-    std::vector<StoreEvent> held;
+    std::vector<StoreEvent> heldEvents;
     std::optional<absl::Status> heldEnd;
     bool isHeldCurrent { false };
 };
@@ -115,26 +115,26 @@
     watch->askedAt = m_scheduler.clock().now();
     StoreWatchCallbacks inner;
     inner.onEvents = [weak = std::weak_ptr<Watch>(watch)](const std::vector<StoreEvent>& events) {
-        if (auto held = weak.lock())
-            held->held.insert(held->held.end(), events.begin(), events.end());
+        if (auto locked = weak.lock())
+            locked->heldEvents.insert(locked->heldEvents.end(), events.begin(), events.end());
     };
     inner.onEnd = [weak = std::weak_ptr<Watch>(watch)](const absl::Status& status) {
-        if (auto held = weak.lock())
-            held->heldEnd = status;
+        if (auto locked = weak.lock())
+            locked->heldEnd = status;
     };
     inner.onCurrent = [weak = std::weak_ptr<Watch>(watch)] {
-        if (auto held = weak.lock())
-            held->isHeldCurrent = true;
+        if (auto locked = weak.lock())
+            locked->isHeldCurrent = true;
     };
     watch->inner = m_client->watch(prefix, firstRevision, std::move(inner));
-    lookAfter(watch);
+    poll(watch);
     return std::make_unique<Handle>(std::move(watch));
 }
 
 // Either callback may drop the watch.
 void StoreZone::Path::deliver(Watch& watch)
 {
-    std::vector<StoreEvent> events = std::exchange(watch.held, {});
+    std::vector<StoreEvent> events = std::exchange(watch.heldEvents, {});
     bool isCurrent = std::exchange(watch.isHeldCurrent, false);
     if (events.empty() && !isCurrent)
         return;
@@ -147,25 +147,25 @@
         onCurrent();
 }
 
-void StoreZone::Path::lookAfter(const std::shared_ptr<Watch>& watch)
+void StoreZone::Path::poll(const std::shared_ptr<Watch>& watch)
 {
-    m_scheduler.callAfter(look, [this, weak = std::weak_ptr<Watch>(watch)] {
-        auto held = weak.lock();
-        if (!held || !held->callbacks.onEnd)
+    m_scheduler.callAfter(pollInterval, [this, weak = std::weak_ptr<Watch>(watch)] {
+        auto locked = weak.lock();
+        if (!locked || !locked->callbacks.onEnd)
             return;
-        bool hasTimedOut = m_scheduler.clock().now() - held->askedAt >= watchTimeout;
-        if (refuses() || (!isSound() && hasTimedOut)) {
-            held->end(absl::UnavailableError("no answer"));
+        bool hasTimedOut = m_scheduler.clock().now() - locked->askedAt >= watchTimeout;
+        if (refuses() || (!reachesStore() && hasTimedOut)) {
+            locked->end(absl::UnavailableError("no answer"));
             return;
         }
-        if (isSound()) {
-            deliver(*held);
-            if (held->heldEnd) {
-                held->end(*held->heldEnd);
+        if (reachesStore()) {
+            deliver(*locked);
+            if (locked->heldEnd) {
+                locked->end(*locked->heldEnd);
                 return;
             }
         }
-        lookAfter(held);
+        poll(locked);
     });
 }
 
@@ -194,13 +194,13 @@
         HttpClientCallbacks callbacks;
         std::size_t server { 0 };
         /// Start count of the process that received the request; zero before delivery.
-        std::uint64_t serverStart { 0 };
+        std::uint64_t serverStartCount { 0 };
         std::shared_ptr<FakeResponder> responder { std::make_shared<FakeResponder>() };
-        TimePoint until {};
+        TimePoint deadline {};
         bool isCancelled { false };
     };
 
-    void lookAfter(const std::shared_ptr<Exchange>& exchange);
+    void poll(const std::shared_ptr<Exchange>& exchange);
     void deliver(Exchange& exchange);
 
     StoreZone& m_zone;
@@ -212,13 +212,13 @@
     Process(StoreZone& zone, std::size_t entry)
         : path(zone, entry, fixture.scheduler)
         , client(zone, entry, fixture.scheduler)
-        , relayed(path, client, fixture.scheduler, choice(entry))
+        , relayed(path, client, fixture.scheduler, relayCallbacks(entry))
         , follower(relayed, fixture.scheduler, fixture.random, "entries/", fixture.parts, [](const std::string&) {})
     {
         fixture.random = Random(entry + 1);
         fixture.dialect.readEndpoint = readEndpoint;
         for (std::size_t i = 0; i < zone.m_entries.size(); ++i)
-            fixture.addEntry(nameOf(i), "north", firstPort + static_cast<int>(i));
+            fixture.addEntry(entryName(i), "north", firstPort + static_cast<int>(i));
         follower.start();
         houseKeep();
     }
@@ -234,16 +234,16 @@
         return record;
     }
 
-    RelayChoice choice(std::size_t entry)
+    RelayCallbacks relayCallbacks(std::size_t entry)
     {
-        RelayChoice made;
-        made.relay = [this, entry] { return fixture.parts.entries.relay(nameOf(entry), fixture.scheduler.clock().now()); };
-        made.noteFailure = [this](const SocketAddress& peer) { fixture.parts.entries.notePeerFailure(peer, fixture.scheduler.clock().now()); };
-        made.noteTrouble = [this] { follower.noteTrouble(); };
-        made.bootstrap = [entry]() -> std::optional<SocketAddress> {
+        RelayCallbacks callbacks;
+        callbacks.findRelay = [this, entry] { return fixture.parts.entries.relay(entryName(entry), fixture.scheduler.clock().now()); };
+        callbacks.recordRelayFailure = [this](const SocketAddress& peer) { fixture.parts.entries.notePeerFailure(peer, fixture.scheduler.clock().now()); };
+        callbacks.recordHistoryGap = [this] { follower.recordHistoryGap(); };
+        callbacks.findBootstrapPeer = [entry]() -> std::optional<SocketAddress> {
             return SocketAddress { "127.0.0.1", static_cast<std::uint16_t>(firstPort + (entry == 0 ? 1 : 0)) };
         };
-        return made;
+        return callbacks;
     }
 
     void houseKeep()
@@ -263,32 +263,32 @@
 {
     auto exchange = std::make_shared<Exchange>();
     exchange->server = request.server.port - firstPort;
-    exchange->until = m_scheduler.clock().now() + request.headTimeout;
+    exchange->deadline = m_scheduler.clock().now() + request.headTimeout;
     exchange->request = std::move(request);
     exchange->callbacks = std::move(callbacks);
-    lookAfter(exchange);
+    poll(exchange);
     return exchange;
 }
 
 void StoreZone::Client::deliver(Exchange& exchange)
 {
     Entry& server = m_zone.m_entries[exchange.server];
-    if (exchange.serverStart > 0 || !server.process || server.fault == EntryFault::Frozen || !m_zone.isReachable(m_entry, exchange.server))
+    if (exchange.serverStartCount > 0 || !server.process || server.fault == EntryFault::Paused || !m_zone.isReachable(m_entry, exchange.server))
         return;
-    exchange.serverStart = server.starts;
-    HttpRequest asked;
-    asked.headers = exchange.request.headers;
-    server.process->relayed.answerPeer(asked, exchange.responder);
+    exchange.serverStartCount = server.startCount;
+    HttpRequest peerRequest;
+    peerRequest.headers = exchange.request.headers;
+    server.process->relayed.answerPeer(peerRequest, exchange.responder);
 }
 
-void StoreZone::Client::lookAfter(const std::shared_ptr<Exchange>& exchange)
+void StoreZone::Client::poll(const std::shared_ptr<Exchange>& exchange)
 {
-    m_scheduler.callAfter(look, [this, exchange] {
+    m_scheduler.callAfter(pollInterval, [this, exchange] {
         if (exchange->isCancelled)
             return;
         deliver(*exchange);
         const Entry& server = m_zone.m_entries[exchange->server];
-        bool isRefused = !server.process || (exchange->serverStart > 0 && exchange->serverStart != server.starts);
+        bool isRefused = !server.process || (exchange->serverStartCount > 0 && exchange->serverStartCount != server.startCount);
         bool isReachable = m_zone.isReachable(m_entry, exchange->server);
         if (exchange->responder->isFinished && isReachable) {
             exchange->callbacks.onHead(*exchange->responder->head);
@@ -296,10 +296,10 @@
             exchange->callbacks.onEnd({ HttpEnd::Complete, true, "" });
         } else if (isRefused && isReachable) {
             exchange->callbacks.onEnd({ HttpEnd::NoResponse, true, "closed" });
-        } else if (m_scheduler.clock().now() >= exchange->until) {
+        } else if (m_scheduler.clock().now() >= exchange->deadline) {
             exchange->callbacks.onEnd({ HttpEnd::TimedOut, true, "timeout" });
         } else {
-            lookAfter(exchange);
+            poll(exchange);
         }
     });
 }
@@ -316,28 +316,28 @@
 
 void StoreZone::start(std::size_t entry)
 {
-    ++m_entries[entry].starts;
+    ++m_entries[entry].startCount;
     m_entries[entry].process = std::make_unique<Process>(*this, entry);
 }
 
 bool StoreZone::isReachable(std::size_t from, std::size_t to) const
 {
-    return m_entries[from].fault != EntryFault::CutOff && m_entries[to].fault != EntryFault::CutOff;
+    return m_entries[from].fault != EntryFault::Partitioned && m_entries[to].fault != EntryFault::Partitioned;
 }
 
-void StoreZone::pass(Duration span)
+void StoreZone::advance(Duration span)
 {
-    for (Duration passed {}; passed < span; passed += look) {
-        m_scheduler.advance(look);
+    for (Duration passed {}; passed < span; passed += pollInterval) {
+        m_scheduler.advance(pollInterval);
         for (Entry& entry : m_entries) {
             if (!entry.process)
                 continue;
-            if (entry.fault == EntryFault::Frozen)
-                entry.frozenFor += look;
-            else if (entry.frozenFor > Duration::zero())
-                entry.process->fixture.scheduler.freeze(std::exchange(entry.frozenFor, {}) + look);
+            if (entry.fault == EntryFault::Paused)
+                entry.pausedFor += pollInterval;
+            else if (entry.pausedFor > Duration::zero())
+                entry.process->fixture.scheduler.freeze(std::exchange(entry.pausedFor, {}) + pollInterval);
             else
-                entry.process->fixture.scheduler.advance(look);
+                entry.process->fixture.scheduler.advance(pollInterval);
         }
     }
 }
@@ -345,12 +345,12 @@
 void StoreZone::setFault(std::size_t entry, EntryFault fault)
 {
     Entry& changed = m_entries[entry];
-    bool startsAgain = changed.fault == EntryFault::Killed && fault != EntryFault::Killed;
+    bool isRestarted = changed.fault == EntryFault::Killed && fault != EntryFault::Killed;
     changed.fault = fault;
-    changed.calmSince = now();
+    changed.healthySince = now();
     if (fault == EntryFault::Killed)
         changed.process.reset();
-    if (startsAgain)
+    if (isRestarted)
         start(entry);
 }
 
@@ -371,9 +371,9 @@
     return isUsed;
 }
 
-bool StoreZone::hasBeenCalm(std::size_t entry, Duration span) const
+bool StoreZone::hasBeenHealthy(std::size_t entry, Duration span) const
 {
-    return m_entries[entry].fault == EntryFault::None && now() - m_entries[entry].calmSince >= span;
+    return m_entries[entry].fault == EntryFault::None && now() - m_entries[entry].healthySince >= span;
 }
 
 bool StoreZone::isDirect(std::size_t entry) const
--- a/unittests/Ingress/StoreZone.h
+++ b/unittests/Ingress/StoreZone.h
@@ -14,13 +14,13 @@
 enum class EntryFault {
     None,
     /// The store neither answers nor refuses the entry's calls.
-    StoreSilent,
+    StoreUnresponsive,
     /// The store refuses all calls of the entry.
     StoreRefuses,
     /// The entry reaches neither the store nor other entries.
-    CutOff,
+    Partitioned,
     /// The process is paused.
-    Frozen,
+    Paused,
     /// The process is killed. When the fault ends, it starts without data.
     Killed,
 };
@@ -35,14 +35,14 @@
     StoreZone& operator=(const StoreZone&) = delete;
 
     /// Advances the time of all entries that aren't paused.
-    void pass(Duration span);
+    void advance(Duration span);
     void setFault(std::size_t entry, EntryFault fault);
     /// Registers an endpoint under \p name, or marks it as leaving.
     void registerEndpoint(const std::string& name, bool isLeaving = false);
     /// Returns whether an entry may still send requests to an endpoint.
     bool uses(std::size_t entry, const std::string& endpoint) const;
     /// Returns whether an entry has had no fault for \p span.
-    bool hasBeenCalm(std::size_t entry, Duration span) const;
+    bool hasBeenHealthy(std::size_t entry, Duration span) const;
     bool isDirect(std::size_t entry) const;
     std::size_t size() const { return m_entries.size(); }
     TimePoint now() const { return m_scheduler.clock().now(); }
@@ -57,9 +57,9 @@
     struct Entry {
         std::unique_ptr<Process> process;
         EntryFault fault { EntryFault::None };
-        std::uint64_t starts { 0 };
-        Duration frozenFor {};
-        TimePoint calmSince {};
+        std::uint64_t startCount { 0 };
+        Duration pausedFor {};
+        TimePoint healthySince {};
     };
 
     bool isReachable(std::size_t from, std::size_t to) const;
