--- a/include/catkinwing/Routing/AnswerTimes.h
+++ b/include/catkinwing/Routing/AnswerTimes.h
@@ -6,69 +6,74 @@
 
 namespace catkinwing {
 
-/// Prompts are counted in thousands of tokens.
+/// Tokens in a kilotoken, the unit of prompt lengths in the estimates.
 constexpr double tokensPerKilotoken = 1'000;
 
-/// How soon an endpoint answers, as far as it is known.
+/// Estimated response times of an endpoint.
 struct AnswerEstimate {
-    /// Seconds until the first byte where nothing is to be read, on the line that
-    /// fits the answers.
+    /// Intercept of the line fitted to the responses: seconds until the first byte
+    /// with no prompt tokens to prefill.
     double secondsAtZero { 0 };
+    /// Slope of the line: seconds per thousand prompt tokens to prefill.
     double secondsPerKilotoken { 0 };
-    /// Seconds until the first byte where nothing else is to be done: what the
-    /// quickest of the last answers took.
+    /// Seconds until the first byte at an idle endpoint, from the fastest of the
+    /// recent responses.
     double idleSeconds { 0 };
-    /// Seconds that a request occupies a slot.
+    /// Seconds for which a request occupies a slot.
     double heldSeconds { 0 };
     /// Seconds between two events of a stream.
     double eventSeconds { 0 };
 };
 
-/// Sums over the answers of one endpoint, or of all endpoints of a service. Old
-/// answers count less by the number of those after them and by their age.
+/// Weighted sums over the responses of one endpoint, or of all endpoints of a
+/// service. The weight of a response decays with each later response and with
+/// time.
 struct AnswerTimes {
-    /// Sums of a least-squares line: seconds until the first byte over thousands
-    /// of prompt tokens to read.
+    /// Sums for a least-squares fit of the seconds until the first byte against
+    /// the thousands of prompt tokens to prefill.
     double weight { 0 };
     double sumKilotokens { 0 };
     double sumSeconds { 0 };
     double sumSquares { 0 };
     double sumProducts { 0 };
-    /// Seconds until the first byte of the quickest answers; negative before the first.
+    /// Seconds until the first byte of the fastest responses; negative before the
+    /// first response.
     double idleSeconds { -1 };
     double heldWeight { 0 };
     double sumHeldSeconds { 0 };
     double eventWeight { 0 };
     double sumEventSeconds { 0 };
-    /// When the sums were last made to age.
+    /// When the time decay was last applied to the sums.
     TimePoint agedAt {};
 };
 
-/// What is believed of a service before any answer.
+/// Returns the default estimate of a service without any response.
 AnswerEstimate usualAnswers();
-/// Returns what \p times tell, beginning with \p prior: what is believed of an
-/// endpoint is that of its service until its own answers say otherwise. An
-/// entry sees an answer of an endpoint each few seconds where hundreds of them
-/// share the work, but several a second of all endpoints of a service.
+/// Returns the estimate from \p times, weighted against \p prior. The estimate of
+/// the service serves as the prior of an endpoint: where hundreds of endpoints
+/// share the load, an entry receives one response every few seconds from a given
+/// endpoint, but several a second from the service as a whole.
 AnswerEstimate estimateAnswers(const AnswerTimes& times, const AnswerEstimate& prior, TimePoint now);
 
-/// Notes that the first byte of an answer came after \p took, where the endpoint
-/// had a slot free and \p kilotokens to read, those of the request included.
+/// Records that the first byte of a response arrived after \p took, from an
+/// endpoint with a free slot and \p kilotokens of prompts to prefill, including
+/// those of this request.
 void learnFirstByte(AnswerTimes& times, double kilotokens, Duration took, TimePoint now);
-/// Notes that a request has occupied its endpoint for \p held.
+/// Records that a request occupied a slot of its endpoint for \p held.
 void learnHeld(AnswerTimes& times, Duration held, TimePoint now);
-/// Notes that a stream has gone on by \p events after \p pause.
+/// Records that \p events arrived on a stream, \p pause after the previous ones.
 void learnEvents(AnswerTimes& times, std::size_t events, Duration pause, TimePoint now);
 
-/// Time between two events of a stream.
+/// Returns the time between two events of a stream.
 Duration timePerEvent(const AnswerEstimate& estimate);
-/// Time until the first byte where nothing is to be read before it.
+/// Returns the time until the first byte at an idle endpoint.
 Duration idleFirstByte(const AnswerEstimate& estimate);
-/// Time that reading a thousand tokens of prompts takes, with all that runs beside it.
+/// Returns the time to prefill a thousand prompt tokens under the present
+/// concurrent load.
 Duration timePerKilotoken(const AnswerEstimate& estimate);
-/// Predicts how much later than at an idle endpoint a request would be begun
-/// that came now. \p slots is the number of requests that run at once, zero if
-/// it isn't known.
+/// Predicts how long a request that is dispatched now would wait before the
+/// endpoint starts it, compared to an idle endpoint. \p slots is the number of
+/// requests that the endpoint runs at once, zero if unknown.
 Duration predictWait(const AnswerEstimate& estimate, const EndpointWork& work, unsigned slots);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/CallerSteering.h
+++ b/include/catkinwing/Routing/CallerSteering.h
@@ -7,47 +7,51 @@
 
 namespace catkinwing {
 
-/// An entry that callers could use.
+/// An entry to which callers can be directed.
 struct EntryView {
-    /// Name that stays the same over address changes.
+    /// Stable name; independent of the entry's address.
     std::string name;
     std::string zone;
     std::string region;
     bool draining { false };
     bool reachable { true };
-    /// Models that its cell serves.
+    /// Models served by the entry's cell.
     std::vector<std::string> models;
-    /// Part of its cell's capacity, above 0; scales its share of sessions.
+    /// The entry's share of its cell's capacity, above 0; scales its share of
+    /// sessions.
     double weight { 1 };
-    /// Round trip from the entry that was asked.
+    /// Round-trip time from the entry that answers the caller's query.
     Duration roundTripTime { 0 };
-    /// Since when it has been up or reachable again.
+    /// When the entry started or became reachable again.
     TimePoint since {};
 };
 
-/// What the order of entries depends on.
+/// Inputs that determine the order of entries for a caller.
 struct SteeringRequest {
     Residency residency;
     std::string model;
     std::string team;
-    /// Session that the caller named; empty for none.
+    /// Session ID given by the caller; empty if none.
     std::string session;
-    /// Random number of this call; it spreads callers that name no session.
+    /// Random number of this query; distributes callers without a session ID.
     std::uint64_t spread { 0 };
-    /// Place of the caller, by default that of the entry that was asked.
+    /// Zone and region of the caller; by default those of the entry that answers
+    /// the query.
     std::string zone;
     std::string region;
 };
 
-/// Returns the places in \p entries of those to use, best first. Left out are
-/// entries that drain, don't answer or lie outside the residency. Those of the
-/// caller's region that serve the model come first: for a session by rendezvous
-/// hash, so that few sessions move when an entry comes or goes, else its own
-/// zone before the others. Other regions follow by distance, and last those
-/// that don't serve the model and would have to forward.
+/// Returns the indexes in \p entries of the usable entries, best first. Entries
+/// that drain, are unreachable or lie outside the residency are omitted. Entries
+/// of the caller's region that serve the model come first. With a session they
+/// are ordered by rendezvous hash, so that few sessions move when an entry is
+/// added or removed; without one, those in the caller's zone come first. Entries
+/// of other regions follow by round-trip time. Entries that don't serve the model
+/// come last, since they would have to forward the request.
 std::vector<std::size_t> steerCallers(const SteeringRequest& request, absl::Span<const EntryView> entries, const SlowStartPolicy& slowStart, TimePoint now);
 
-/// Returns the weighted rendezvous score of \p node for \p key; highest wins.
+/// Returns the weighted rendezvous-hash score of \p node for \p key. The node
+/// with the highest score owns the key.
 double rendezvousScore(absl::string_view key, absl::string_view node, double weight);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/EndpointChoice.h
+++ b/include/catkinwing/Routing/EndpointChoice.h
@@ -10,56 +10,59 @@
 
 namespace catkinwing {
 
-/// Work that an endpoint has before it, as far as the entries of its region know.
+/// Outstanding work of an endpoint, as known to the entries of its region.
 struct EndpointWork {
-    /// Requests that it has not answered.
+    /// Requests without a complete response.
     double requests { 0 };
-    /// Thousands of prompt tokens that it has not read.
+    /// Thousands of prompt tokens that are not prefilled yet.
     double unreadKilotokens { 0 };
 };
 
-/// An endpoint that may be chosen.
+/// An endpoint that is eligible for a request.
 struct EndpointCandidate {
-    /// Index in the caller's own list.
+    /// Index in the list of the function's caller.
     std::size_t index { 0 };
     absl::string_view incarnation;
-    /// How long the request would wait before the endpoint began with it.
+    /// Predicted wait before the endpoint starts the request.
     Duration wait { 0 };
-    /// What the endpoint has to do, as a time: its wait, and how much the
-    /// requests that run there slow each other.
+    /// Load of the endpoint, expressed as a time: its wait plus the mutual
+    /// slowdown of the requests that run there.
     Duration load { 0 };
-    /// Failed not long ago; chosen only if all others have failed too.
+    /// Whether the endpoint failed recently. Suspects are chosen only if all
+    /// candidates are suspects.
     bool isSuspect { false };
-    /// The request would wait for longer than it may; chosen only for its shared part.
+    /// Whether the wait exceeds the request's limit. Such a candidate is chosen
+    /// only for its shared prompt segment.
     bool isTooBusy { false };
-    /// It probably keeps the request's shared part.
+    /// Whether the endpoint probably caches the request's shared prompt segment.
     bool holdsPart { false };
 };
 
-/// What the choice depends on beside the candidates.
+/// Properties of the request that affect the choice.
 struct EndpointDemand {
-    /// Names the shared part of the prompt; empty if there is none worth
-    /// reading again.
+    /// Identifies the shared prompt segment; empty if there is none that is worth
+    /// reusing.
     std::string sharedPart;
-    /// How long reading the shared part again would take.
+    /// Time to prefill the shared segment again.
     Duration readingAgain { 0 };
-    /// The longest wait that the request may have.
+    /// Maximum wait of the request.
     Duration longestWait { Duration::max() };
 };
 
-/// Returns how long a request may wait for the owner of its shared part: what it
-/// saves by not reading the part again counts for it.
+/// Returns the maximum wait of a request for the endpoint that owns its shared
+/// segment. The time saved by not prefilling the segment again extends it.
 Duration longestWaitForOwner(const EndpointDemand& demand);
 
-/// Score of an endpoint for a shared part; the highest one owns the part. The
-/// same in every entry.
+/// Returns the rendezvous-hash score of an endpoint for a shared segment. The
+/// endpoint with the highest score owns the segment. The score is the same in
+/// every entry.
 std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedPart);
 
-/// Chooses among \p candidates; nothing if there are none or all are too busy.
-/// A shared part goes to the endpoint that keeps it, to the least busy one if
-/// there are several; one that nobody keeps goes to the same endpoint from every
-/// entry without being told. Endpoints that have far more to do than the others
-/// are passed over.
+/// Chooses among \p candidates. Returns nothing if there are none or all are too
+/// busy. A request with a shared segment goes to the endpoint that caches the
+/// segment, or to the one with the shortest wait if several do. If none does, all
+/// entries choose the same endpoint by hash, without communication. Endpoints
+/// whose wait is far above the mean are not chosen for their segments.
 std::optional<std::size_t> chooseEndpoint(absl::Span<const EndpointCandidate> candidates, const EndpointDemand& demand, Random& random);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/EndpointLifecycle.h
+++ b/include/catkinwing/Routing/EndpointLifecycle.h
@@ -6,65 +6,68 @@
 
 namespace catkinwing {
 
-/// Where word of an endpoint came from.
+/// Origin of a report about an endpoint.
 enum class LifecycleSource {
-    /// The endpoint's own answer: a refusal, a health or a load reply.
+    /// A reply of the endpoint itself: a refusal, health reply or load reply.
     Endpoint,
-    /// The platform's list of instances, which lags.
+    /// The platform's list of instances, which may be out of date.
     InstanceList,
     /// Another entry.
     Peer
 };
 
-/// One word about an endpoint.
+/// A report about the state of an endpoint.
 struct LifecycleSign {
-    /// Name of the endpoint, which may pass to a new instance.
+    /// Name of the endpoint; a new instance may take over the name.
     std::string endpoint;
-    /// Incarnation that the sign speaks of.
+    /// Incarnation to which the report applies.
     std::string incarnation;
     LifecycleSource source { LifecycleSource::InstanceList };
     bool leaving { false };
 };
 
-/// What a sign changed.
+/// State change caused by a report.
 enum class LifecycleChange { None,
-    /// A new incarnation took over the name.
+    /// A new incarnation has taken over the name.
     Started,
-    /// The present incarnation is leaving.
+    /// The present incarnation has begun to leave.
     Leaving };
 
-/// What is known of the present incarnation.
+/// State of one incarnation of an endpoint.
 struct LifecycleStatus {
     std::string incarnation;
     bool leaving { false };
-    /// Source and time of the first sign of leaving.
+    /// Source and time of the first report that the incarnation is leaving.
     LifecycleSource leavingSource { LifecycleSource::Endpoint };
     TimePoint leavingSince {};
-    /// When this incarnation was first seen; slow start begins there.
+    /// When this incarnation was first reported; start of its slow start.
     TimePoint startedAt {};
 };
 
-/// Whether endpoints are live or leaving, per incarnation. The first sign of
-/// leaving wins and is never taken back for that incarnation, so a lagging list
-/// can't bring it back; a new incarnation of the same name starts afresh.
+/// Tracks per incarnation whether endpoints are live or leaving. Once an
+/// incarnation is reported as leaving, it remains so: an outdated instance list
+/// can't make it live again. A new incarnation of the same name starts as live
+/// unless it is itself reported as leaving.
 class EndpointLifecycle {
 public:
-    /// Takes in one sign. A sign of an incarnation that was replaced changes
-    /// nothing, unless the endpoint itself gives it.
+    /// Records one report. A report about a replaced incarnation doesn't change the
+    /// present one, unless it comes from the endpoint itself.
     LifecycleChange record(const LifecycleSign& sign, TimePoint now);
-    /// Returns what is known of \p endpoint, or null.
+    /// Returns the state of the present incarnation of \p endpoint, or null if
+    /// the endpoint is unknown.
     const LifecycleStatus* status(absl::string_view endpoint) const;
-    /// Returns whether new work may go to \p endpoint.
+    /// Returns whether \p endpoint is known and accepts new requests.
     bool takesWork(absl::string_view endpoint) const;
-    /// Drops what is known of \p endpoint; only once no source names it.
+    /// Removes all state of \p endpoint. Call it only once no source lists the
+    /// endpoint any more.
     void forget(absl::string_view endpoint);
 
 private:
     struct Entry {
         LifecycleStatus present;
-        /// True once the endpoint itself stated the present incarnation.
+        /// Whether the endpoint itself has reported the present incarnation.
         bool confirmed { false };
-        /// Incarnations that were present before, oldest first.
+        /// Replaced incarnations, oldest first.
         std::vector<LifecycleStatus> replaced;
     };
 
--- a/include/catkinwing/Routing/PartHolders.h
+++ b/include/catkinwing/Routing/PartHolders.h
@@ -7,23 +7,24 @@
 
 namespace catkinwing {
 
-/// Returns the hash by which a shared part of a prompt is named.
+/// Returns the hash that identifies a shared prompt segment.
 std::uint32_t partHash(absl::string_view sharedPart);
 
-/// Which endpoints of a region probably keep which shared parts, from what all
-/// its entries have sent where. An endpoint gives up the parts that it has not
-/// used for longest; so a part counts as kept until prompts that fill the
-/// memory left for parts have been sent there after it.
+/// Estimates which endpoints of a region cache which shared prompt segments, from
+/// the prompts that all entries of the region have sent. Endpoints evict the least
+/// recently used segments; a segment therefore counts as cached until later
+/// prompts sent to the endpoint fill the memory available for segments.
 class PartHolders {
 public:
     PartHolders();
 
-    /// Notes that a prompt with \p part was sent to \p endpoint, which thereby
-    /// stores \p kilotokens.
+    /// Records that a prompt with the segment \p part was sent to \p endpoint,
+    /// which adds \p kilotokens to its cache.
     void noteSent(std::uint32_t endpoint, std::uint32_t part, std::uint32_t kilotokens);
-    /// Sets what an endpoint can hold in all; zero leaves it as it is.
+    /// Sets the cache size of an endpoint; zero leaves it unchanged.
     void setMemory(std::int64_t tokens);
-    /// The endpoint has not run the request after all.
+    /// Removes \p endpoint as a holder of \p part, because it did not run the
+    /// request.
     void forget(std::uint32_t endpoint, std::uint32_t part);
     bool holds(std::uint32_t endpoint, std::uint32_t part) const;
     std::size_t parts() const { return m_holders.size(); }
@@ -31,7 +32,8 @@
 private:
     struct Holder {
         std::uint32_t endpoint { 0 };
-        /// The part is gone once the endpoint has stored more than this.
+        /// The segment counts as evicted once the endpoint's total of cached
+        /// kilotokens exceeds this value.
         std::uint64_t keptUntil { 0 };
     };
     using Holders = absl::InlinedVector<Holder, 2>;
@@ -40,9 +42,9 @@
     void dropStale();
 
     absl::flat_hash_map<std::uint32_t, Holders> m_holders;
-    /// Thousands of tokens that each endpoint has stored so far.
+    /// Thousands of tokens that each endpoint has added to its cache so far.
     absl::flat_hash_map<std::uint32_t, std::uint64_t> m_stored;
-    /// Thousands of tokens of parts that an endpoint keeps.
+    /// Thousands of tokens of segments that an endpoint can cache.
     std::uint64_t m_room { 0 };
 };
 
--- a/include/catkinwing/Routing/PartRegionChoice.h
+++ b/include/catkinwing/Routing/PartRegionChoice.h
@@ -7,21 +7,23 @@
 
 namespace catkinwing {
 
-/// A region that may take a request with a shared part.
+/// A region that is eligible for a request with a shared prompt segment.
 struct PartRegionOption {
     std::string region;
-    /// How long the request would wait there for an endpoint.
+    /// Predicted wait for an endpoint in the region.
     Duration wait { 0 };
-    /// What the way there adds; zero for the region of this entry.
+    /// Network delay to the region; zero for the region of this entry.
     Duration way { 0 };
-    /// Its endpoints probably keep the part, or it owns the part that none keeps.
+    /// Whether endpoints of the region probably cache the segment, or the region
+    /// owns a segment that no endpoint caches.
     bool keepsPart { false };
 };
 
-/// Chooses the region for a request with a shared part, which takes
-/// \p readingAgain to read. It goes to where the part is kept unless another
-/// region is so much less busy that reading the part there costs less; a part
-/// that has moved stays, so that it moves once. Nothing if \p options is empty.
+/// Chooses the region for a request with a shared segment, which takes
+/// \p readingAgain to prefill. Prefers the region that caches the segment unless
+/// another region would start the response sooner despite the repeated prefill.
+/// The region that prefilled the segment is then preferred, so that the segment
+/// moves only once. Returns null if \p options is empty.
 const PartRegionOption* choosePartRegion(absl::Span<const PartRegionOption> options, Duration readingAgain, Random& random);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/PartRegions.h
+++ b/include/catkinwing/Routing/PartRegions.h
@@ -7,15 +7,17 @@
 
 namespace catkinwing {
 
-/// In which region each shared part of a prompt was last used, as far as the
-/// entries of this region have sent it there. Whoever owns a part by its hash
-/// changes when zones are evacuated and come back; the part itself stays where it
-/// was read, and reading it again costs an engine some 0.3 s.
+/// Records to which region the entries of this region last sent each shared prompt
+/// segment. The owner of a segment by hash changes when zones are evacuated and
+/// restored, but the segment stays cached where it was prefilled. Prefilling it
+/// again costs an engine about 0.3 s.
 class PartRegions {
 public:
-    /// Notes that \p part was sent to the region with the hash \p region.
+    /// Records that the segment \p part was sent to the region with the hash
+    /// \p region.
     void noteSent(std::uint32_t part, std::uint32_t region, TimePoint now);
-    /// Returns the hash of the region that probably keeps \p part.
+    /// Returns the hash of the region that probably caches the segment \p part, or
+    /// nothing if it is unknown or was last used too long ago.
     std::optional<std::uint32_t> regionOf(std::uint32_t part, TimePoint now) const;
 
 private:
--- a/include/catkinwing/Routing/RegionChoice.h
+++ b/include/catkinwing/Routing/RegionChoice.h
@@ -8,38 +8,38 @@
 
 namespace catkinwing {
 
-/// Another region that may take a request.
+/// Another region that is eligible for a request.
 struct RegionOption {
     std::string region;
-    /// How long the request would wait there for an endpoint; nothing if that
-    /// isn't known.
+    /// Predicted wait for an endpoint in the region; nothing if unknown.
     std::optional<Duration> wait;
-    /// What the way there adds. It makes no request wait behind another, so it
-    /// counts for the choice and not for whether there is room.
+    /// Network delay to the region. It occupies no capacity, so it affects the
+    /// choice of the region but is not compared with the maximum wait.
     Duration way { 0 };
-    /// How long its answer would take once it has begun.
+    /// Predicted duration of the response there, from its first byte.
     Duration lasts { 0 };
 };
 
-/// What the choice depends on beside the other regions.
+/// Properties of the request and the local region that affect the choice.
 struct RegionDemand {
-    /// How long the request would wait here; nothing if that isn't known or no
-    /// endpoint here takes it.
+    /// Predicted wait in the local region; nothing if unknown or if no local
+    /// endpoint accepts the request.
     std::optional<Duration> waitHere;
-    /// How long its answer would take here once it has begun.
+    /// Predicted duration of the response here, from its first byte.
     Duration lastsHere { 0 };
-    /// Endpoints here may take it, though how soon isn't known.
+    /// Whether local endpoints may accept the request, even if the wait is
+    /// unknown.
     bool mayAskHere { false };
     Duration longestWait { 0 };
 };
 
 enum class RegionVerdict {
     Here,
-    /// In the region that the choice names.
+    /// Forward to the region named in the choice.
     Away,
-    /// It would wait too long everywhere.
+    /// The wait exceeds the maximum in every region.
     Nowhere,
-    /// Too little is known; the endpoints and regions have to be asked.
+    /// Some waits are unknown; the endpoints and regions have to be queried.
     Ask,
 };
 
@@ -48,10 +48,11 @@
     std::string region;
 };
 
-/// Chooses the region for a request that has not been sent yet. Requests stay
-/// as long as they wait for little and their answers take no longer than
-/// elsewhere; beyond that a growing part of them goes to where they are answered
-/// sooner, so that entries with the same view don't all turn at the same moment.
+/// Chooses the region for a request that has not been dispatched yet. Requests
+/// stay in the local region while their wait is short and responses take no longer
+/// than elsewhere. Beyond that, a growing share of them is forwarded to regions
+/// that complete them sooner. Sharing by probability keeps entries with the same
+/// view from switching regions all at once.
 RegionChoice chooseRegion(const RegionDemand& demand, const std::vector<RegionOption>& others, Random& random);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/RegionPressure.h
+++ b/include/catkinwing/Routing/RegionPressure.h
@@ -9,14 +9,15 @@
 
 namespace catkinwing {
 
-/// How readily a region takes the requests of one service, learnt from its
-/// refusals: one takes everything, near zero refuses nearly everything.
+/// Tracks the acceptance of each region for one service: the share of requests
+/// that the region accepts, estimated from its refusals. It is 1 if the region
+/// accepts everything and near 0 if it refuses almost everything.
 class RegionPressure {
 public:
     void noteTaken(const std::string& region, TimePoint now);
     void noteRefused(const std::string& region, TimePoint now);
-    /// Returns a figure between zero and one; it recovers with time, so that a
-    /// region that is no longer asked is asked again.
+    /// Returns the acceptance of \p region, between 0 and 1. It recovers with time,
+    /// so that a region that no longer receives requests is tried again.
     double readiness(const std::string& region, TimePoint now) const;
 
 private:
@@ -28,11 +29,14 @@
     std::map<std::string, Learnt> m_regions;
 };
 
-/// Tells whether to send a request away at once, without asking \p home first:
-/// with the probability by which \p home refuses, unless the others refuse as much.
+/// Returns whether to forward a request to another region without trying
+/// \p home first. The probability is the share of requests that \p home refuses;
+/// it is zero unless another region accepts a larger share.
 bool shouldSpill(const RegionPressure& pressure, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random);
 
-/// Chooses among \p regions, given with their endpoints, by endpoints and readiness.
+/// Chooses at random among \p regions, which maps each region to its number of
+/// endpoints. The weight of a region is its number of endpoints times its
+/// acceptance. Returns nothing if all weights are zero.
 std::optional<std::string> chooseSpillRegion(const RegionPressure& pressure, const std::map<std::string, std::size_t>& regions, TimePoint now, Random& random);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/RequestIdentity.h
+++ b/include/catkinwing/Routing/RequestIdentity.h
@@ -5,11 +5,11 @@
 
 namespace catkinwing {
 
-/// What makes two requests the same, whoever forwards them and however often
-/// they come.
+/// Fields by which a repeated request is recognized, independent of the entry
+/// that forwards it.
 struct RequestIdentity {
     absl::string_view host;
-    /// Credentials that the request carries; empty without any.
+    /// Credentials of the request; empty if there are none.
     absl::string_view caller;
     absl::string_view method;
     absl::string_view path;
--- a/include/catkinwing/Routing/StreamLength.h
+++ b/include/catkinwing/Routing/StreamLength.h
@@ -5,20 +5,21 @@
 
 namespace catkinwing {
 
-/// How many events the streams of one kind of request have, by the tokens that
-/// their requests ask for; learnt from streams that have ended.
+/// Statistics of finished streams of one kind of request, used to predict the
+/// number of events of a stream from the maximum output tokens of its request.
 struct StreamLength {
-    /// Decaying sums over the streams that stated their tokens.
+    /// Decaying sums over the streams whose requests stated a token limit.
     double tokens { 0 };
     double events { 0 };
-    /// Mean over all streams.
+    /// Moving average of the events over all streams.
     double meanEvents { 20 };
 };
 
-/// Notes that a request for at most \p outputTokens (zero if not stated) was
-/// answered in \p events.
+/// Records that the response to a request for at most \p outputTokens (zero if not
+/// stated) had \p events.
 void learnEvents(StreamLength& length, std::int64_t outputTokens, std::size_t events);
-/// Predicts the events of the answer to a request for at most \p outputTokens.
+/// Predicts the number of events in the response to a request for at most
+/// \p outputTokens (zero if not stated).
 double predictEvents(const StreamLength& length, std::int64_t outputTokens);
 
 } // namespace catkinwing
