--- a/lib/Routing/AnswerTimes.cpp
+++ b/lib/Routing/AnswerTimes.cpp
@@ -5,40 +5,46 @@
 
 namespace catkinwing {
 
-/// What is believed before the first answer: engines that are known read 64 to 93
-/// tokens in a millisecond and begin some 0.1 s after that; their steps for other
-/// requests take as much again. They make an event of five to seven tokens in
-/// 25 to 100 ms.
+/// Defaults before the first response. Known engines prefill 64 to 93 tokens per
+/// millisecond and send the first byte about 0.1 s after the prefill; their steps
+/// for other requests double the prefill time. They produce an event of five to
+/// seven tokens every 25 to 100 ms.
 static constexpr double firstGuessSeconds = 0.12;
 static constexpr double secondsPerKilotokenGuess = 0.02;
 static constexpr double heldGuessSeconds = 0.5;
 static constexpr double eventGuessSeconds = 0.03;
-/// Answers for which what is believed before counts. Endpoints of a service
-/// differ by a third in speed and more by their load, which a few answers show.
+/// Weight of the prior estimate, in responses. Endpoints of a service differ by a
+/// third in speed and by more than that in load, which a few responses reveal.
 static constexpr double priorAnswers = 6;
-/// The same for events of streams, of which an answer has several.
+/// Weight of the prior event time, in recorded stream progress. A response has
+/// several such records.
 static constexpr double priorEvents = 15;
-/// Thousands of tokens at the two points of the line that is believed before.
+/// Thousands of tokens at the second point of the prior line; the first point is
+/// at zero.
 static constexpr double priorKilotokens = 20;
-/// Each answer leaves this much of the weight of those before: the last fifty
-/// count most, which one entry of few sees within a second of load.
+/// Factor by which each response reduces the weight of earlier ones. The last
+/// fifty responses dominate; where there are few entries, each receives that many
+/// within a second under load.
 static constexpr double keptByAnswer = 0.98;
 static constexpr double keptByEvent = 0.98;
-/// Answers count half after this time: an endpoint that was slow gets little
-/// work, so that no answer would ever show that it has recovered.
+/// Half-life of the weight of responses. Without it, an endpoint that was slow
+/// would receive too few requests to show that it has recovered.
 static constexpr std::chrono::seconds answerHalfTime { 10 };
-/// No engine is taken for faster or slower than this, whatever a few odd answers say.
+/// Bounds of the estimates, which keep a few outliers from producing an extreme
+/// speed.
 static constexpr double leastSecondsPerKilotoken = 0.004;
 static constexpr double mostSecondsPerKilotoken = 0.2;
 static constexpr double leastFirstByteSeconds = 0.001;
-/// One answer that was late for another reason, such as a frozen machine, says
-/// no more than this.
+/// Upper bound of one recorded time until the first byte. It limits the effect of
+/// a response that was delayed for another reason, such as a paused machine.
 static constexpr double mostSeconds = 5;
-/// A quicker answer than all before moves the idle time most of the way, slower
-/// ones little: of a hundred answers some ten find an endpoint almost idle.
+/// Weights of responses faster and slower than the present idle time. A faster
+/// response moves the idle time far and a slower one only slightly, because only
+/// about ten of a hundred responses come from an almost idle endpoint.
 static constexpr double quickerWeight = 0.5;
 static constexpr double slowerWeight = 0.001;
-/// A pause beyond this is a fault or the network, and no pace.
+/// Upper bound of a recorded interval between events. A longer interval is caused
+/// by a fault or the network and is not the engine's event rate.
 static constexpr double longestPauseSeconds = 1;
 
 static double secondsOf(Duration duration)
@@ -109,8 +115,8 @@
     times.sumEventSeconds = times.sumEventSeconds * keptByEvent + seconds;
 }
 
-// Where all answers had the same to read they say nothing of the slope; the two
-// points of the prior then do.
+// If all responses had the same number of tokens to prefill, they don't determine
+// the slope; the two points of the prior do.
 static void fitLine(AnswerTimes sums, const AnswerEstimate& prior, AnswerEstimate& estimate)
 {
     addPoint(sums, 0, prior.secondsAtZero, priorAnswers / 2);
--- a/lib/Routing/CallerSteering.cpp
+++ b/lib/Routing/CallerSteering.cpp
@@ -10,7 +10,7 @@
 
 double rendezvousScore(absl::string_view key, absl::string_view node, double weight)
 {
-    // The top bits fill a double's mantissa; the half keeps the logarithm
+    // The top 53 bits fill a double's mantissa. Adding 0.5 keeps the logarithm
     // finite.
     constexpr unsigned droppedBits = 11;
     constexpr double range = 9007199254740992.0;
@@ -21,7 +21,7 @@
 
 namespace {
 
-    /// Order of the entries: nearer groups first, then the higher score.
+    /// Groups of entries, in order of preference.
     enum class Nearness { Zone,
         Region,
         OtherRegion,
@@ -47,8 +47,8 @@
         return Nearness::WithoutModel;
     if (entry.region != request.region)
         return Nearness::OtherRegion;
-    // A session belongs to one entry of the region, whichever zone it is asked
-    // for from: its cache is worth more than the step between zones.
+    // All zones of the region direct a session to the same entry: reusing its
+    // cache saves more than the network delay between zones costs.
     if (!request.session.empty())
         return Nearness::Region;
     return entry.zone == request.zone ? Nearness::Zone : Nearness::Region;
--- a/lib/Routing/EndpointChoice.cpp
+++ b/lib/Routing/EndpointChoice.cpp
@@ -6,14 +6,16 @@
 
 namespace catkinwing {
 
-/// The owner of a shared part is passed over once its wait is longer than the
-/// mean by this many times the time of reading the part again: that reading also
-/// delays all others there, and pushes other parts out of the memory.
+/// An endpoint is not chosen for a shared segment if its wait exceeds the mean wait
+/// by more than this multiple of the segment's prefill time. The multiple is above
+/// 1 because prefilling the segment elsewhere also delays the other requests there
+/// and evicts other segments from the cache.
 static constexpr double readingsBorne = 4;
-/// Beyond the longest wait it is waited for by this many times that time.
+/// Multiple of the segment's prefill time by which the wait for its owner may
+/// exceed the maximum wait.
 static constexpr double readingsBeyond = 2;
-/// Waits that differ by less than this are alike; short parts would otherwise
-/// never be read where they lie.
+/// Excess over the mean wait that is always tolerated. Without it, short segments
+/// would hardly ever be reused where they are cached.
 static constexpr std::chrono::milliseconds waitBorne { 100 };
 
 namespace {
@@ -40,8 +42,9 @@
     return candidates;
 }
 
-// Two at random and the less loaded of them: entries that know only their own
-// requests would otherwise all turn to the same endpoint.
+// Picks two candidates at random and returns the less loaded one. Choosing the
+// least loaded of all would send the requests of entries that know only their own
+// load to the same endpoint.
 static const EndpointCandidate& lessLoadedOfTwo(const Candidates& candidates, Random& random)
 {
     std::size_t first = random.below(candidates.size());
@@ -54,8 +57,8 @@
     return isSecondBetter ? *candidates[second] : *candidates[first];
 }
 
-// Among many endpoints one is always idle, so that the shortest wait would say
-// nothing of what a request meets elsewhere.
+// The mean is used rather than the minimum: among many endpoints one is always
+// idle, so the minimum doesn't represent the wait at the others.
 static Duration meanWait(const Candidates& candidates)
 {
     Duration sum { 0 };
@@ -76,7 +79,7 @@
     return stableHash(incarnation, stableHash(sharedPart));
 }
 
-// Those of the endpoints that may be asked for a shared part.
+// Returns the candidates whose wait is within the limit for a shared segment.
 static Candidates withoutOverloaded(const EndpointDemand& demand, Candidates candidates)
 {
     auto borne = std::chrono::duration_cast<Duration>(demand.readingAgain * readingsBorne) + waitBorne;
@@ -85,8 +88,8 @@
     return candidates;
 }
 
-// An owner that has come back, or a new one, doesn't keep what was read
-// elsewhere meanwhile.
+// Holders are preferred to the owner by hash: an owner that was restored or added
+// doesn't cache the segments that were prefilled elsewhere before.
 static const EndpointCandidate* leastBusyHolder(const Candidates& candidates)
 {
     const EndpointCandidate* best = nullptr;
@@ -97,7 +100,8 @@
     return best;
 }
 
-// Rendezvous hashing: when an endpoint goes, only its own shared parts move.
+// Uses rendezvous hashing: when an endpoint is removed, only the segments that it
+// owned move to others.
 static const EndpointCandidate* ownerOf(const EndpointDemand& demand, const Candidates& candidates)
 {
     const EndpointCandidate* best = nullptr;
--- a/lib/Routing/EndpointLifecycle.cpp
+++ b/lib/Routing/EndpointLifecycle.cpp
@@ -5,7 +5,7 @@
 
 namespace catkinwing {
 
-/// Incarnations of one name that are remembered after their replacement.
+/// Maximum number of replaced incarnations kept per endpoint.
 static constexpr std::size_t maxReplaced = 4;
 
 static void noteLeaving(LifecycleStatus& status, const LifecycleSign& sign, TimePoint now)
@@ -53,14 +53,15 @@
         noteLeaving(*old, sign, now);
         return LifecycleChange::None;
     }
-    // A live endpoint that spoke for itself outweighs word of a start that no
-    // one has seen: lists lag and may name an incarnation from before.
+    // A live incarnation that the endpoint itself has reported takes precedence
+    // over an unconfirmed new one: an outdated list may name an earlier incarnation.
     if (old == entry.replaced.end() && !fromEndpoint && entry.confirmed && !entry.present.leaving)
         return LifecycleChange::None;
     LifecycleStatus next = startOf(sign, now);
     if (old != entry.replaced.end()) {
-        // The endpoint itself says so: the replacement had been mere hearsay.
-        // What was known of the incarnation, leaving included, comes back.
+        // The endpoint itself reports the replaced incarnation, which overrides
+        // its replacement. The state of the incarnation is restored, including
+        // whether it is leaving.
         next = *old;
         noteLeaving(next, sign, now);
         entry.replaced.erase(old);
--- a/lib/Routing/EndpointView.cpp
+++ b/lib/Routing/EndpointView.cpp
@@ -6,8 +6,10 @@
 
 namespace catkinwing {
 
-/// Own dispatches older than this are dropped when no report ever comes.
+/// Dispatches and endings older than this are dropped even if no load report
+/// arrives.
 static constexpr Duration dispatchMemory = std::chrono::seconds(10);
+/// Weight of a new sample in the moving averages.
 static constexpr double learningWeight = 0.1;
 
 unsigned inFlightLimit(const EndpointView& endpoint)
@@ -72,8 +74,9 @@
     endpoint.endingsSinceReport.push_back(now);
 }
 
-// An old report still counts own requests that have ended since. Left in, they
-// would be a queue that isn't there, in front of those sent since.
+// Returns the requests of other entries in \p report. Subtracts all of this entry's
+// requests at the time of the report, including those that have ended since;
+// otherwise they would count as a queue ahead of the requests sent since.
 static unsigned othersIn(const EndpointView& endpoint, const EndpointLoadReport& report)
 {
     std::size_t reported = report.running + report.waiting;
--- a/lib/Routing/PartHolders.cpp
+++ b/lib/Routing/PartHolders.cpp
@@ -6,14 +6,14 @@
 
 namespace catkinwing {
 
-/// Part of an engine's memory that is left to parts that no running request
-/// uses; the rest is taken by the requests that run, and by prompts that are
-/// sent without a word to the other entries.
+/// Fraction of an engine's cache that is available for segments that no running
+/// request uses. The rest is taken by running requests and by prompts that aren't
+/// announced to the other entries.
 static constexpr double memoryForParts = 0.6;
-/// Assumed where an engine's memory isn't stated.
+/// Default for engines that don't state their cache size.
 static constexpr std::int64_t usualMemoryTokens = 300'000;
-/// Parts that are remembered, some 40 bytes each: enough for three hundred engines
-/// with a hundred parts each.
+/// Maximum number of recorded segments, of about 40 bytes each: enough for three
+/// hundred engines with a hundred segments each.
 static constexpr std::size_t maxParts = 32'768;
 
 std::uint32_t partHash(absl::string_view sharedPart)
@@ -73,8 +73,9 @@
     return std::any_of(holders.begin(), holders.end(), [&](const Holder& holder) { return holder.endpoint == endpoint && isKept(holder); });
 }
 
-// Endpoints that are gone store nothing more, so their parts never turn stale; if
-// nothing else can go, all does, and is learnt anew within seconds.
+// Segments of removed endpoints never become stale, since those endpoints cache
+// nothing more. If too many segments remain, all records are dropped; new dispatches
+// restore them within seconds.
 void PartHolders::dropStale()
 {
     for (auto part = m_holders.begin(); part != m_holders.end();) {
--- a/lib/Routing/PartRegionChoice.cpp
+++ b/lib/Routing/PartRegionChoice.cpp
@@ -2,9 +2,10 @@
 
 namespace catkinwing {
 
-/// Gain at which every request moves; a smaller gain moves a part of them, since
-/// all entries see the same reports and would fill a region before its next one.
-/// About the time of reading a long part.
+/// Gain at which every request moves to the other region. Smaller gains move a
+/// proportional share, because all entries use the same load reports and would
+/// otherwise overload a region before its next report. The value is about the
+/// prefill time of a long segment.
 static constexpr std::chrono::milliseconds wholeGain { 300 };
 
 static Duration beginsAfter(const PartRegionOption& option, Duration readingAgain)
--- a/lib/Routing/PartRegions.cpp
+++ b/lib/Routing/PartRegions.cpp
@@ -2,10 +2,12 @@
 
 namespace catkinwing {
 
-/// A part that nobody here has sent for this long has probably been pushed out:
-/// an engine of 300,000 tokens that reads 20,000 a second keeps it so long.
+/// Time after its last use at which a segment has probably been evicted. An engine
+/// with a cache of 300,000 tokens that prefills 20,000 tokens per second keeps an
+/// unused segment for about as long.
 static constexpr std::chrono::seconds keptUnused { 10 };
-/// Parts that are remembered; beyond it all are learnt anew within seconds.
+/// Maximum number of recorded segments. Beyond it all records are dropped; new
+/// dispatches restore them within seconds.
 static constexpr std::size_t maxParts = 32'768;
 
 void PartRegions::noteSent(std::uint32_t part, std::uint32_t region, TimePoint now)
--- a/lib/Routing/RegionChoice.cpp
+++ b/lib/Routing/RegionChoice.cpp
@@ -4,12 +4,13 @@
 
 namespace catkinwing {
 
-/// Up to this part of the longest wait a request stays: a way to another region
-/// costs a round trip and bytes, and the first event is still in time.
+/// Fraction of the maximum wait up to which the wait alone moves no request to
+/// another region: forwarding costs a round trip and traffic, while the first event
+/// still arrives in time here.
 static constexpr double partBorneHere = 0.5;
 
-/// A part of the time that answers take here, by which they have to be sooner
-/// elsewhere: engines' paces differ by as much from moment to moment.
+/// Fraction of the local response time by which another region must be faster.
+/// Engine speeds fluctuate by about as much.
 static constexpr double gainWanted = 0.25;
 
 static Duration endsAfter(const RegionOption& option)
@@ -17,8 +18,9 @@
     return *option.wait + option.way + option.lasts;
 }
 
-// The sooner of two at random: with the soonest of all, entries with the same
-// view would fill one region before its next report.
+// Picks two regions at random and returns the one that completes the response
+// sooner. If all entries with the same view chose the soonest of all, they would
+// overload one region before its next load report.
 static const RegionOption* soonerOfTwo(const std::vector<const RegionOption*>& known, Random& random)
 {
     if (known.empty())
@@ -33,7 +35,8 @@
     return std::chrono::duration<double>(part) / std::chrono::duration<double>(whole);
 }
 
-// Long waits and slow answers move requests each by themselves.
+// A long wait and a slow response are independent reasons to forward a request; the
+// higher of their probabilities applies.
 static bool goesAway(const RegionDemand& demand, const RegionOption& away, Random& random)
 {
     Duration borne = std::chrono::duration_cast<Duration>(demand.longestWait * partBorneHere);
--- a/lib/Routing/RegionPressure.cpp
+++ b/lib/Routing/RegionPressure.cpp
@@ -4,15 +4,17 @@
 
 namespace catkinwing {
 
-/// A refusal takes this part of the readiness, and an answer adds this much.
-/// They balance where one request in twenty is refused: fewer would mean that
-/// capacity nearby lies idle, more that requests are delayed by being refused.
+/// Fraction of the acceptance that a refusal removes, and amount that an accepted
+/// request adds. They balance where one request in twenty is refused. Fewer refusals
+/// would leave capacity nearby idle; more would delay requests by refusals.
 static constexpr double lostByRefusal = 0.12;
 static constexpr double gainedByAnswer = 0.006;
-/// Gained each second without any news.
+/// Acceptance regained per second since the last update.
 static constexpr double gainedPerSecond = 0.06;
+/// Lower bound after a refusal.
 static constexpr double leastReadiness = 0.03;
-/// Spilling costs a round trip between regions, so a little pressure is borne.
+/// Acceptance at or above which no request is spilled, because spilling costs a
+/// round trip between regions.
 static constexpr double spillThreshold = 0.9;
 
 double RegionPressure::readiness(const std::string& region, TimePoint now) const
--- a/lib/Routing/RequestIdentity.cpp
+++ b/lib/Routing/RequestIdentity.cpp
@@ -6,7 +6,8 @@
 
 namespace catkinwing {
 
-// Each field begins with its length, so that no field can spill into the next.
+// Each field is prefixed with its length, so that different divisions of the same
+// text give different fingerprints.
 RequestFingerprint fingerprintOf(const RequestIdentity& identity)
 {
     std::string text;
--- a/lib/Routing/StreamLength.cpp
+++ b/lib/Routing/StreamLength.cpp
@@ -2,9 +2,11 @@
 
 namespace catkinwing {
 
-/// The last fifty streams of a kind say most of the next one.
+/// Factor by which each stream reduces the weight of earlier ones; the last fifty
+/// dominate.
 static constexpr double kept = 0.98;
-/// An event holds five to seven tokens, where no stream has ended yet.
+/// Tokens per event assumed before any stream has ended. Known engines put five to
+/// seven tokens into an event.
 static constexpr double tokensPerEventGuess = 6;
 
 void learnEvents(StreamLength& length, std::int64_t outputTokens, std::size_t events)
