--- a/unittests/Routing/AnswerTimesTest.cpp
+++ b/unittests/Routing/AnswerTimesTest.cpp
@@ -14,18 +14,18 @@
 
 static const TimePoint start { 100s };
 
-/// What \p times tell of an endpoint of which nothing else is known.
+/// Returns the estimate from \p times with the default prior.
 static AnswerEstimate estimateOf(const AnswerTimes& times, TimePoint now = start)
 {
     return estimateAnswers(times, usualAnswers(), now);
 }
 
-/// An engine that begins after \p floor and takes \p perKilotoken, each answer
-/// up to a fifth off.
+/// Records responses of an engine that sends the first byte after \p floor plus
+/// \p perKilotoken per thousand tokens, with up to 20% random deviation.
 static void learn(AnswerTimes& times, Duration floor, Duration perKilotoken, int answers, Random& random)
 {
     for (int i = 0; i < answers; ++i) {
-        // One in ten finds the engine idle.
+        // One request in ten has no tokens to prefill.
         double kilotokens = i % 10 == 0 ? 0 : random.unit() * 30;
         double off = 0.8 + 0.4 * random.unit();
         auto took = std::chrono::duration_cast<Duration>((floor + perKilotoken * kilotokens) * off);
@@ -33,7 +33,7 @@
     }
 }
 
-TEST_CASE("an engine's times are learnt from some tens of answers")
+TEST_CASE("a hundred responses are enough to estimate an engine's response times")
 {
     Random random(4);
     AnswerTimes times;
@@ -42,7 +42,7 @@
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) == Approx(40).epsilon(0.2));
 }
 
-TEST_CASE("an engine that turns slow is believed slow within a hundred answers")
+TEST_CASE("the estimate follows an engine that slows down within a hundred responses")
 {
     Random random(4);
     AnswerTimes times;
@@ -52,7 +52,7 @@
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) > 40);
 }
 
-TEST_CASE("answers that all had nothing to read say nothing of how fast prompts are read")
+TEST_CASE("responses without prompt tokens to prefill leave the prefill estimate almost unchanged")
 {
     AnswerTimes times;
     Duration before = timePerKilotoken(estimateOf(times));
@@ -62,7 +62,7 @@
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) == Approx(milliseconds(before)).epsilon(0.4));
 }
 
-TEST_CASE("odd answers never make an endpoint infinitely fast or slow")
+TEST_CASE("outliers don't push the estimates beyond their bounds")
 {
     AnswerTimes times;
     for (int i = 0; i < 50; ++i)
@@ -73,7 +73,7 @@
     CHECK(idleFirstByte(estimate) <= 6s);
 }
 
-TEST_CASE("the pace of streams is learnt, and a broken one doesn't spoil it")
+TEST_CASE("the time per event is estimated from streams, and an interrupted stream has little effect on it")
 {
     AnswerTimes times;
     for (int i = 0; i < 1'000; ++i)
@@ -84,8 +84,9 @@
     CHECK(milliseconds(timePerEvent(estimateOf(times))) < 100);
 }
 
-// Else one that has just started would get nothing beside one that is well known.
-TEST_CASE("an endpoint that has answered little is not taken for a busy one")
+// Otherwise a new endpoint would receive no requests next to one with many recorded
+// responses.
+TEST_CASE("an endpoint with few responses and no work has no predicted wait")
 {
     AnswerTimes times;
     for (int i = 0; i < 5; ++i) {
@@ -94,23 +95,23 @@
     }
 }
 
-TEST_CASE("a request waits for the prompts before it and, where no slot is free, for requests to end")
+TEST_CASE("the predicted wait covers queued prompt tokens and, without a free slot, the end of running requests")
 {
     AnswerEstimate estimate = usualAnswers();
     CHECK(predictWait(estimate, { 0, 0 }, 8) == 0ms);
     CHECK(predictWait(estimate, { 7, 0 }, 8) == 0ms);
     CHECK(milliseconds(predictWait(estimate, { 0, 10 }, 8)) == Approx(10 * milliseconds(timePerKilotoken(estimate))));
-    // Eight slots that are held for 0.5 s each come free every 62.5 ms.
+    // With eight slots, each occupied for 0.5 s, one becomes free every 62.5 ms.
     CHECK(milliseconds(predictWait(estimate, { 8, 0 }, 8)) == Approx(62.5));
     CHECK(milliseconds(predictWait(estimate, { 23, 0 }, 8)) == Approx(1'000));
     CHECK(predictWait(estimate, { 1'000, 0 }, 0) == 0ms);
 }
 
-// A hundred entries before a dozen endpoints of a plain service: each entry sees
-// three answers a second, one in four seconds from each endpoint. With the first
-// guess of 0.5 s a request behind a full endpoint would be refused that is served
-// in a tenth of its time.
-TEST_CASE("an entry that sees little of each endpoint knows them by their service within seconds")
+// With a hundred entries and a dozen endpoints, each entry receives three responses
+// per second, and one per endpoint every four seconds. With the default of 0.5 s per
+// request, the entry would refuse requests behind a full endpoint that serves them
+// in a tenth of that time.
+TEST_CASE("estimates of endpoints with few responses follow their service within seconds")
 {
     AnswerTimes service;
     std::vector<AnswerTimes> endpoints(12);
@@ -127,7 +128,7 @@
     }
 }
 
-TEST_CASE("an endpoint slower than its service is told from it by some answers, and forgiven with time")
+TEST_CASE("a few responses distinguish a slow endpoint from its service, and their effect decays")
 {
     AnswerTimes service;
     for (int i = 0; i < 50; ++i)
--- a/unittests/Routing/CallerSteeringTest.cpp
+++ b/unittests/Routing/CallerSteeringTest.cpp
@@ -45,7 +45,7 @@
     return names;
 }
 
-TEST_CASE("without a session the own zone comes first, then the region, then others")
+TEST_CASE("without a session the caller's zone comes first, then its region, then others")
 {
     std::vector<std::string> order = steer(makeRequest(), makeEntries());
     REQUIRE(order.size() == 4);
@@ -54,7 +54,7 @@
     CHECK(order[3] == "v1");
 }
 
-TEST_CASE("callers without a session are spread")
+TEST_CASE("callers without a session are distributed over the entries of their zone")
 {
     std::set<std::string> firsts;
     for (std::uint64_t spread = 0; spread < 50; ++spread) {
@@ -65,7 +65,7 @@
     CHECK(firsts == std::set<std::string> { "c2", "c3" });
 }
 
-TEST_CASE("entries that drain, don't answer or lie outside the residency are left out")
+TEST_CASE("entries that drain, are unreachable or lie outside the residency are omitted")
 {
     std::vector<EntryView> entries = makeEntries();
     entries[1].draining = true;
@@ -76,14 +76,14 @@
     CHECK(steer(nowhere, entries).empty());
 }
 
-TEST_CASE("an entry without the model comes last")
+TEST_CASE("an entry that doesn't serve the model comes last")
 {
     std::vector<EntryView> entries = makeEntries();
     entries[3].models = { "n" };
     CHECK(steer(makeRequest("s"), entries).back() == "c3");
 }
 
-TEST_CASE("a session is sent to one entry from every zone, and few move when one goes")
+TEST_CASE("a session maps to the same entry from every zone, and removing an entry moves only its own sessions")
 {
     std::vector<EntryView> entries;
     entries.reserve(10);
@@ -105,7 +105,7 @@
     CHECK(moved < 90);
 }
 
-TEST_CASE("an entry that just came back gets a small part of the sessions")
+TEST_CASE("an entry that has just started receives a small share of the sessions")
 {
     std::vector<EntryView> entries = makeEntries();
     entries[1].since = start;
--- a/unittests/Routing/EndpointChoiceTest.cpp
+++ b/unittests/Routing/EndpointChoiceTest.cpp
@@ -16,7 +16,7 @@
 
 static const std::vector<std::string> names { "a", "b", "c", "d", "e" };
 
-TEST_CASE("a shared part goes to the same endpoint from every entry")
+TEST_CASE("all entries choose the same endpoint for a shared segment")
 {
     std::vector<EndpointCandidate> list = candidates(names);
     std::map<std::size_t, int> counts;
@@ -33,7 +33,7 @@
     CHECK(counts.size() == names.size());
 }
 
-TEST_CASE("only the shared parts of an endpoint that goes move")
+TEST_CASE("removing an endpoint moves only the shared segments that it owned")
 {
     Random random(1);
     std::vector<EndpointCandidate> all = candidates(names);
@@ -46,8 +46,9 @@
     }
 }
 
-// Its owner by the hash may have been cold or away when the part was read.
-TEST_CASE("a shared part goes to the least busy endpoint that keeps it")
+// The owner by hash may have been in slow start or unavailable when the segment was
+// prefilled, so that another endpoint caches it.
+TEST_CASE("a request goes to the least busy endpoint that caches its shared segment")
 {
     Random random(1);
     std::vector<EndpointCandidate> list = candidates(names);
@@ -67,7 +68,7 @@
     CHECK(chooseEndpoint(list, demand, random) == owner);
 }
 
-TEST_CASE("an overloaded owner is passed over")
+TEST_CASE("an owner whose wait is far above the mean is not chosen")
 {
     Random random(1);
     std::vector<EndpointCandidate> list = candidates(names);
@@ -82,7 +83,7 @@
     CHECK(*chooseEndpoint(list, demand, random) == owner);
 }
 
-TEST_CASE("an owner may be waited for by twice the time of reading the part again, and no longer")
+TEST_CASE("the wait for an owner may exceed the maximum by at most twice the segment's prefill time")
 {
     Random random(1);
     std::vector<EndpointCandidate> list = candidates(names);
@@ -100,7 +101,7 @@
     CHECK_FALSE(chooseEndpoint(list, demand, random));
 }
 
-TEST_CASE("an endpoint that is too busy is not chosen, even if it is the only one")
+TEST_CASE("an endpoint that is too busy is not chosen, even if it is the only candidate")
 {
     Random random(1);
     std::vector<EndpointCandidate> list = candidates({ "a" });
@@ -108,7 +109,7 @@
     CHECK_FALSE(chooseEndpoint(list, {}, random));
 }
 
-TEST_CASE("suspects are chosen only where nothing else is")
+TEST_CASE("suspects are chosen only if all candidates are suspects")
 {
     Random random(1);
     std::vector<EndpointCandidate> list = candidates(names);
@@ -121,7 +122,7 @@
     CHECK_FALSE(chooseEndpoint({}, {}, random).has_value());
 }
 
-TEST_CASE("without a shared part the less loaded of two is taken")
+TEST_CASE("without a shared segment the less loaded of two random candidates is chosen")
 {
     Random random(1);
     std::vector<EndpointCandidate> list = candidates(names);
--- a/unittests/Routing/EndpointLifecycleTest.cpp
+++ b/unittests/Routing/EndpointLifecycleTest.cpp
@@ -10,7 +10,7 @@
 static constexpr LifecycleSource listSays = LifecycleSource::InstanceList;
 static constexpr LifecycleSource peerSays = LifecycleSource::Peer;
 
-TEST_CASE("the first sign of leaving wins, from whichever source")
+TEST_CASE("the first report that an incarnation is leaving takes effect, from any source")
 {
     for (LifecycleSource source : { endpointSays, listSays, peerSays }) {
         EndpointLifecycle lifecycle;
@@ -24,7 +24,7 @@
     }
 }
 
-TEST_CASE("a lagging list can't bring an incarnation back")
+TEST_CASE("no later report makes a leaving incarnation live again")
 {
     EndpointLifecycle lifecycle;
     lifecycle.record({ "e", "a", endpointSays, false }, start);
@@ -35,7 +35,7 @@
     }
 }
 
-TEST_CASE("a new incarnation of the name starts afresh and the old one stays away")
+TEST_CASE("a new incarnation starts as live, and reports of other sources don't restore the old one")
 {
     EndpointLifecycle lifecycle;
     lifecycle.record({ "e", "a", endpointSays, false }, start);
@@ -49,7 +49,7 @@
     CHECK(lifecycle.takesWork("e"));
 }
 
-TEST_CASE("an old incarnation that still answers is leaving as before")
+TEST_CASE("a replaced incarnation that answers again is still leaving")
 {
     EndpointLifecycle lifecycle;
     lifecycle.record({ "e", "a", endpointSays, true }, start);
@@ -59,7 +59,7 @@
     CHECK(lifecycle.status("e")->leavingSince == start);
 }
 
-TEST_CASE("hearsay of an unseen incarnation doesn't displace one that answers")
+TEST_CASE("an unconfirmed report of another incarnation doesn't replace a live one that answers")
 {
     EndpointLifecycle lifecycle;
     lifecycle.record({ "e", "b", endpointSays, false }, start);
--- a/unittests/Routing/EndpointViewTest.cpp
+++ b/unittests/Routing/EndpointViewTest.cpp
@@ -13,7 +13,7 @@
     return remainingTokens(endpoint.backlog, endpoint.prefillTokensPerSecond, now);
 }
 
-TEST_CASE("slow start lowers the limit but leaves one request")
+TEST_CASE("slow start lowers the in-flight limit to no less than one request")
 {
     EndpointView endpoint;
     endpoint.credits = 8;
@@ -36,7 +36,7 @@
     CHECK(backlogAt(endpoint, start + 10s) == 0);
 }
 
-TEST_CASE("a late report keeps the own dispatches that it can't have seen")
+TEST_CASE("requests sent after a report was measured are added to its backlog")
 {
     EndpointView endpoint;
     endpoint.prefillTokensPerSecond = 1000;
@@ -48,7 +48,7 @@
     CHECK(backlogAt(endpoint, start + 3s) == Approx(3000));
 }
 
-TEST_CASE("an old report's own requests that ended since are not believed to be there")
+TEST_CASE("own requests that ended after a report was measured are not counted as in flight")
 {
     EndpointView endpoint;
     endpoint.slots = 8;
@@ -58,7 +58,7 @@
         recordSettled(endpoint, start + 2s);
         recordDispatch(endpoint, 0, start + 2s);
     }
-    // Six own requests and one of another entry, told two seconds late.
+    // Six own requests and one of another entry, recorded two seconds late.
     recordReport(endpoint, { start + 1s, 7, 0, 0 });
     CHECK(believedInFlight(endpoint, {}, start + 3s) == 7);
     recordSettled(endpoint, start + 3s);
@@ -66,7 +66,7 @@
     CHECK(predictTimeToFirstToken(endpoint, {}, {}, start + 3s).slotWait == Duration::zero());
 }
 
-TEST_CASE("without reports the remembered endings stay bounded")
+TEST_CASE("without reports the number of recorded endings is bounded")
 {
     EndpointView endpoint;
     for (int i = 0; i < 1000; ++i) {
@@ -76,7 +76,7 @@
     CHECK(endpoint.endingsSinceReport.size() <= 101);
 }
 
-TEST_CASE("a report older than the one held changes nothing")
+TEST_CASE("a report older than the present one is ignored")
 {
     EndpointView endpoint;
     recordReport(endpoint, { start + 2s, 5, 0, 700 });
@@ -85,7 +85,7 @@
     CHECK(endpoint.backlog.tokens == 700);
 }
 
-TEST_CASE("without reports the remembered dispatches stay bounded")
+TEST_CASE("without reports the number of recorded dispatches is bounded")
 {
     EndpointView endpoint;
     for (int i = 0; i < 1000; ++i)
@@ -93,7 +93,7 @@
     CHECK(endpoint.dispatchesSinceReport.size() <= 101);
 }
 
-TEST_CASE("speeds follow the samples, and an empty sample leaves them")
+TEST_CASE("estimated speeds follow the samples, and an empty sample leaves them unchanged")
 {
     EndpointView endpoint;
     endpoint.prefillTokensPerSecond = 1000;
--- a/unittests/Routing/PartHoldersTest.cpp
+++ b/unittests/Routing/PartHoldersTest.cpp
@@ -6,7 +6,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-TEST_CASE("a part counts as kept until prompts that fill the memory for parts came after it")
+TEST_CASE("a segment counts as cached until later prompts fill the memory for segments")
 {
     PartHolders holders;
     holders.setMemory(100'000);
@@ -14,7 +14,7 @@
     holders.noteSent(1, 7, 17);
     CHECK(holders.holds(1, 7));
     CHECK_FALSE(holders.holds(2, 7));
-    // Sixty thousand tokens are left to parts.
+    // Sixty thousand tokens are available for segments.
     holders.noteSent(1, 8, 60);
     CHECK(holders.holds(1, 7));
     holders.noteSent(1, 9, 1);
@@ -22,7 +22,7 @@
     CHECK(holders.holds(1, 8));
 }
 
-TEST_CASE("a part that is used again stays, wherever else it lies")
+TEST_CASE("a segment that is used again stays cached, independently at each endpoint")
 {
     PartHolders holders;
     holders.setMemory(100'000);
@@ -40,8 +40,9 @@
     CHECK(holders.holds(2, 7));
 }
 
-// Ten thousand engines and as many parts each as they hold.
-TEST_CASE("what is remembered of parts is bounded")
+// Ten thousand engines with twenty segments each, more than the maximum number of
+// records.
+TEST_CASE("the number of recorded segments is bounded")
 {
     PartHolders holders;
     for (std::uint32_t part = 0; part < 200'000; ++part)
@@ -50,7 +51,7 @@
     CHECK(holders.holds(199'999 % 10'000, 199'999));
 }
 
-TEST_CASE("a part stays in the region where it was used last, for some seconds")
+TEST_CASE("a segment stays in the region of its last use for ten seconds")
 {
     PartRegions regions;
     TimePoint now { 100s };
--- a/unittests/Routing/PartRegionChoiceTest.cpp
+++ b/unittests/Routing/PartRegionChoiceTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-/// Share of a thousand requests that go to \p region.
+/// Returns the share of a thousand requests that go to \p region.
 static double shareOf(const std::string& region, const std::vector<PartRegionOption>& options, Duration readingAgain)
 {
     Random random(5);
@@ -15,7 +15,7 @@
     return chosen / 1'000.0;
 }
 
-TEST_CASE("a request goes to where its part is kept while that is about as soon")
+TEST_CASE("a request goes to the region that caches its segment if no other starts it sooner")
 {
     std::vector<PartRegionOption> options { { "north", 0ms, 0ms, false }, { "south", 100ms, 115ms, true } };
     CHECK(shareOf("south", options, 270ms) == 1);
@@ -23,22 +23,22 @@
     CHECK_FALSE(choosePartRegion({}, 270ms, random));
 }
 
-// A kind that may go to two of three regions fills them; work that may go
-// anywhere leaves them for the third one, which stands idle.
-TEST_CASE("bound work and flexible work, one region idle")
+// Requests restricted to two of three regions fill these two. Requests without a
+// restriction have to move to the third region, which is idle.
+TEST_CASE("a shared segment moves from a busy region to an idle one and stays there")
 {
     std::vector<PartRegionOption> options { { "north", 650ms, 0ms, true }, { "south", 700ms, 115ms, false }, { "west", 50ms, 115ms, false } };
     CHECK(shareOf("west", options, 270ms) > 0.6);
     CHECK(shareOf("south", options, 270ms) == 0);
-    // It has moved, and stays there.
+    // The segment has moved and stays there.
     options[0].keepsPart = false;
     options[2].keepsPart = true;
     CHECK(shareOf("west", options, 270ms) == 1);
 }
 
-// Some twenty entries decide between two reports; if all moved at once they would
-// fill the idle region and turn back at the next report.
-TEST_CASE("the busier a part's region, the more of its requests leave, without a herd")
+// About twenty entries choose between two load reports. If all moved their requests
+// at once, they would fill the idle region and move back at the next report.
+TEST_CASE("the share of requests that move grows gradually with the wait in the segment's region")
 {
     double before = 0;
     for (Duration wait : { 0ms, 400ms, 450ms, 550ms, 650ms, 750ms }) {
@@ -51,7 +51,7 @@
     CHECK(before > 0.95);
 }
 
-TEST_CASE("the idle region is lost")
+TEST_CASE("without a cached segment a request goes to the region that starts it soonest")
 {
     std::vector<PartRegionOption> options { { "north", 650ms, 0ms, false }, { "south", 700ms, 115ms, false } };
     CHECK(shareOf("north", options, 270ms) == 1);
--- a/unittests/Routing/RegionChoiceTest.cpp
+++ b/unittests/Routing/RegionChoiceTest.cpp
@@ -15,14 +15,14 @@
     return demand;
 }
 
-TEST_CASE("a request stays where it waits for little, whatever the others say")
+TEST_CASE("a request with a short wait stays in the local region, even if another region is idle")
 {
     Random random(1);
     for (int i = 0; i < 100; ++i)
         CHECK(chooseRegion(demandOf(150ms), { { "south", 0ms, 0ms } }, random).verdict == RegionVerdict::Here);
 }
 
-TEST_CASE("a request that would wait too long here goes to a region with room, and is refused where there is none")
+TEST_CASE("a request that would wait too long here goes to a region with free capacity, or is refused if there is none")
 {
     Random random(1);
     RegionChoice away = chooseRegion(demandOf(500ms), { { "south", 100ms, 115ms }, { "west", 900ms, 115ms } }, random);
@@ -32,7 +32,7 @@
     CHECK(chooseRegion(demandOf(500ms), {}, random).verdict == RegionVerdict::Nowhere);
 }
 
-TEST_CASE("long answers go to where engines are faster, and short ones stay")
+TEST_CASE("some requests with long responses go to a region with faster engines, and those with short ones stay")
 {
     Random random(1);
     RegionDemand demand = demandOf(0ms);
@@ -41,7 +41,7 @@
     int away = 0;
     for (int i = 0; i < 1'000; ++i)
         away += chooseRegion(demand, { faster }, random).verdict == RegionVerdict::Away;
-    // Some stay, so that the faster region isn't filled at once.
+    // Some stay, so that the faster region isn't overloaded at once.
     CHECK(away > 300);
     CHECK(away < 600);
     demand.lastsHere = 200ms;
@@ -50,7 +50,7 @@
         CHECK(chooseRegion(demand, { faster }, random).verdict == RegionVerdict::Here);
 }
 
-TEST_CASE("the way to a region with room is no reason to refuse")
+TEST_CASE("network delay to a region with free capacity doesn't cause a refusal")
 {
     Random random(1);
     CHECK(chooseRegion(demandOf(500ms), { { "south", 0ms, 2s } }, random).verdict == RegionVerdict::Away);
@@ -59,14 +59,15 @@
     CHECK(chooseRegion(elsewhere, { { "south", 0ms, 2s } }, random).verdict == RegionVerdict::Away);
 }
 
-TEST_CASE("what isn't known is asked for before anything is refused")
+TEST_CASE("regions with unknown waits are queried before a request is refused")
 {
     Random random(1);
     CHECK(chooseRegion(demandOf(500ms), { { "south", std::nullopt, 115ms } }, random).verdict == RegionVerdict::Ask);
     CHECK(chooseRegion(demandOf(std::nullopt), { { "south", 900ms, 115ms } }, random).verdict == RegionVerdict::Ask);
 }
 
-/// Regions of four engines each, and entries that see their load a report late.
+/// Simulates regions of four engines each, whose load other regions know only from
+/// their latest report.
 struct Regions {
     static constexpr int entries = 6;
     static constexpr std::array<const char*, 3> names { "north", "south", "west" };
@@ -78,11 +79,11 @@
     std::array<double, 3> reported {};
 };
 
-// The figures: an engine reads a thousand tokens in 20 ms with all that runs
-// beside it, so four read 200 thousand a second; the peak is twice that in one
-// region while the others idle, as with peaks at different hours; reports are
-// 0.3 s old on the mean (interval, way, own requests since).
-TEST_CASE("a peak of one region is spread over all, without all entries turning to one region at once")
+// An engine prefills a thousand tokens in 20 ms under concurrent load, so that four
+// engines prefill 200 thousand tokens per second. The peak is twice that in one
+// region while the others are idle, as with peaks at different hours. Reports are
+// 300 ms apart.
+TEST_CASE("a load peak in one region is distributed over all regions without overloading one of them")
 {
     Random random(9);
     Regions world;
@@ -94,10 +95,10 @@
     for (int step = 0; step < 10'000; ++step) {
         if (step % 300 == 0)
             world.reported = world.kilotokens;
-        // In a millisecond each region reads what its four engines can.
+        // Each step is a millisecond, in which four engines prefill 200 tokens.
         for (double& kilotokens : world.kilotokens)
             kilotokens = std::max(0.0, kilotokens - 0.2);
-        // 400 requests a second of a thousand tokens, all in the north.
+        // 400 requests per second of a thousand tokens each, all in the region north.
         if (random.unit() >= 0.4)
             continue;
         RegionDemand demand;
--- a/unittests/Routing/RegionPressureTest.cpp
+++ b/unittests/Routing/RegionPressureTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-TEST_CASE("a region that refuses is asked less, and recovers with answers and with time")
+TEST_CASE("acceptance falls with refusals, and recovers with accepted requests and with time")
 {
     RegionPressure pressure;
     TimePoint now { 10s };
@@ -21,8 +21,8 @@
     CHECK(pressure.readiness("south", now) == 1);
 }
 
-// Plays a region that bears half of what is asked of it.
-TEST_CASE("what a region can't bear is spilled, and little of the rest is refused")
+// Simulates a region that sustains about half of the requests offered to it.
+TEST_CASE("load beyond a region's capacity is spilled, and few of the remaining requests are refused")
 {
     RegionPressure pressure;
     Random random(5);
@@ -51,7 +51,7 @@
     CHECK(refused < 50 * 100 / 2);
 }
 
-TEST_CASE("nothing is spilled where the others refuse as much, or there are none")
+TEST_CASE("nothing is spilled if the other regions refuse as much, or there are none")
 {
     RegionPressure pressure;
     Random random(5);
@@ -67,7 +67,7 @@
     CHECK_FALSE(chooseSpillRegion(pressure, {}, now, random));
 }
 
-TEST_CASE("spilled requests go by endpoints and readiness")
+TEST_CASE("spilled requests are distributed by number of endpoints and acceptance")
 {
     RegionPressure pressure;
     Random random(5);
--- a/unittests/Routing/RequestIdentityTest.cpp
+++ b/unittests/Routing/RequestIdentityTest.cpp
@@ -5,7 +5,7 @@
 
 using namespace catkinwing;
 
-TEST_CASE("a request that comes again has the same fingerprint, and no other has it")
+TEST_CASE("a repeated request has the same fingerprint, and different requests have different ones")
 {
     RequestIdentity asked { "h", "key-1", "POST", "/p/1", "q=1", "body" };
     CHECK(fingerprintOf(asked) == fingerprintOf({ "h", "key-1", "POST", "/p/1", "q=1", "body" }));
@@ -18,7 +18,7 @@
         { "h", "key-1", "POST", "/p/2", "q=1", "body" },
         { "h", "key-1", "POST", "/p/1", "q=2", "body" },
         { "h", "key-1", "POST", "/p/1", "q=1", "bode" },
-        // The same text, divided otherwise.
+        // The same text with different field boundaries.
         { "h", "key-1", "POST", "/p/1", "q=1b", "ody" },
         { "hk", "ey-1", "POST", "/p/1", "q=1", "body" },
     };
--- a/unittests/Routing/StreamLengthTest.cpp
+++ b/unittests/Routing/StreamLengthTest.cpp
@@ -4,7 +4,7 @@
 
 using namespace catkinwing;
 
-TEST_CASE("the events of a stream follow from the tokens that its request asks for")
+TEST_CASE("the number of events is predicted from the maximum output tokens of the request")
 {
     StreamLength length;
     for (int i = 0; i < 100; ++i)
@@ -13,7 +13,7 @@
     CHECK(predictEvents(length, 50) == Approx(10).epsilon(0.02));
 }
 
-TEST_CASE("without stated tokens a stream is as long as those before it")
+TEST_CASE("without a stated maximum the prediction is the average of earlier streams")
 {
     StreamLength length;
     CHECK(predictEvents(length, 0) > 1);
