--- a/include/catkinwing/Routing/AnswerTimes.h
+++ b/include/catkinwing/Routing/AnswerTimes.h
@@ -39,12 +39,12 @@
     /// Seconds until the first byte of the fastest responses; negative before the
     /// first response.
     double idleSeconds { -1 };
-    double heldWeight { 0 };
-    double sumHeldSeconds { 0 };
+    double slotWeight { 0 };
+    double sumSlotSeconds { 0 };
     double eventWeight { 0 };
     double sumEventSeconds { 0 };
     /// When the time decay was last applied to the sums.
-    TimePoint agedAt {};
+    TimePoint decayedAt {};
 };
 
 /// Returns the default estimate of a service without any response.
@@ -59,10 +59,10 @@
 /// endpoint with a free slot and \p kilotokens of prompts to prefill, including
 /// those of this request.
 void learnFirstByte(AnswerTimes& times, double kilotokens, Duration took, TimePoint now);
-/// Records that a request occupied a slot of its endpoint for \p held.
-void learnHeld(AnswerTimes& times, Duration held, TimePoint now);
-/// Records that \p events arrived on a stream, \p pause after the previous ones.
-void learnEvents(AnswerTimes& times, std::size_t events, Duration pause, TimePoint now);
+/// Records that a request occupied a slot of its endpoint for \p occupied.
+void learnHeld(AnswerTimes& times, Duration occupied, TimePoint now);
+/// Records that \p events arrived on a stream, \p interval after the previous ones.
+void learnEvents(AnswerTimes& times, std::size_t events, Duration interval, TimePoint now);
 
 /// Returns the time between two events of a stream.
 Duration timePerEvent(const AnswerEstimate& estimate);
--- a/include/catkinwing/Routing/EndpointChoice.h
+++ b/include/catkinwing/Routing/EndpointChoice.h
@@ -56,7 +56,7 @@
 /// Returns the rendezvous-hash score of an endpoint for a shared segment. The
 /// endpoint with the highest score owns the segment. The score is the same in
 /// every entry.
-std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedPart);
+std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedSegment);
 
 /// Chooses among \p candidates. Returns nothing if there are none or all are too
 /// busy. A request with a shared segment goes to the endpoint that caches the
--- a/include/catkinwing/Routing/EndpointLifecycle.h
+++ b/include/catkinwing/Routing/EndpointLifecycle.h
@@ -52,15 +52,15 @@
 public:
     /// Records one report. A report about a replaced incarnation doesn't change the
     /// present one, unless it comes from the endpoint itself.
-    LifecycleChange record(const LifecycleSign& sign, TimePoint now);
+    LifecycleChange record(const LifecycleSign& report, TimePoint now);
     /// Returns the state of the present incarnation of \p endpoint, or null if
     /// the endpoint is unknown.
     const LifecycleStatus* status(absl::string_view endpoint) const;
     /// Returns whether \p endpoint is known and accepts new requests.
-    bool takesWork(absl::string_view endpoint) const;
+    bool acceptsRequests(absl::string_view endpoint) const;
     /// Removes all state of \p endpoint. Call it only once no source lists the
     /// endpoint any more.
-    void forget(absl::string_view endpoint);
+    void remove(absl::string_view endpoint);
 
 private:
     struct Entry {
@@ -71,7 +71,7 @@
         std::vector<LifecycleStatus> replaced;
     };
 
-    LifecycleChange recordOther(Entry& entry, const LifecycleSign& sign, TimePoint now) const;
+    LifecycleChange recordOtherIncarnation(Entry& entry, const LifecycleSign& report, TimePoint now) const;
 
     absl::flat_hash_map<std::string, Entry> m_entries;
 };
--- a/include/catkinwing/Routing/PartHolders.h
+++ b/include/catkinwing/Routing/PartHolders.h
@@ -8,7 +8,7 @@
 namespace catkinwing {
 
 /// Returns the hash that identifies a shared prompt segment.
-std::uint32_t partHash(absl::string_view sharedPart);
+std::uint32_t partHash(absl::string_view sharedSegment);
 
 /// Estimates which endpoints of a region cache which shared prompt segments, from
 /// the prompts that all entries of the region have sent. Endpoints evict the least
@@ -18,34 +18,33 @@
 public:
     PartHolders();
 
-    /// Records that a prompt with the segment \p part was sent to \p endpoint,
-    /// which adds \p kilotokens to its cache.
-    void noteSent(std::uint32_t endpoint, std::uint32_t part, std::uint32_t kilotokens);
+    /// Records that a prompt with \p segment was sent to \p endpoint, which adds \p kilotokens to its cache.
+    void noteSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens);
     /// Sets the cache size of an endpoint; zero leaves it unchanged.
     void setMemory(std::int64_t tokens);
-    /// Removes \p endpoint as a holder of \p part, because it did not run the
+    /// Removes \p endpoint as a holder of \p segment, because it did not run the
     /// request.
-    void forget(std::uint32_t endpoint, std::uint32_t part);
-    bool holds(std::uint32_t endpoint, std::uint32_t part) const;
-    std::size_t parts() const { return m_holders.size(); }
+    void forget(std::uint32_t endpoint, std::uint32_t segment);
+    bool holds(std::uint32_t endpoint, std::uint32_t segment) const;
+    std::size_t segments() const { return m_holders.size(); }
 
 private:
     struct Holder {
         std::uint32_t endpoint { 0 };
         /// The segment counts as evicted once the endpoint's total of cached
         /// kilotokens exceeds this value.
-        std::uint64_t keptUntil { 0 };
+        std::uint64_t evictionThreshold { 0 };
     };
     using Holders = absl::InlinedVector<Holder, 2>;
 
-    bool isKept(const Holder& holder) const;
+    bool isCached(const Holder& holder) const;
     void dropStale();
 
     absl::flat_hash_map<std::uint32_t, Holders> m_holders;
     /// Thousands of tokens that each endpoint has added to its cache so far.
     absl::flat_hash_map<std::uint32_t, std::uint64_t> m_stored;
     /// Thousands of tokens of segments that an endpoint can cache.
-    std::uint64_t m_room { 0 };
+    std::uint64_t m_segmentCapacity { 0 };
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/PartRegionChoice.h
+++ b/include/catkinwing/Routing/PartRegionChoice.h
@@ -20,10 +20,10 @@
 };
 
 /// Chooses the region for a request with a shared segment, which takes
-/// \p readingAgain to prefill. Prefers the region that caches the segment unless
+/// \p prefillTime to prefill. Prefers the region that caches the segment unless
 /// another region would start the response sooner despite the repeated prefill.
 /// The region that prefilled the segment is then preferred, so that the segment
 /// moves only once. Returns null if \p options is empty.
-const PartRegionOption* choosePartRegion(absl::Span<const PartRegionOption> options, Duration readingAgain, Random& random);
+const PartRegionOption* choosePartRegion(absl::Span<const PartRegionOption> options, Duration prefillTime, Random& random);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/PartRegions.h
+++ b/include/catkinwing/Routing/PartRegions.h
@@ -13,12 +13,11 @@
 /// again costs an engine about 0.3 s.
 class PartRegions {
 public:
-    /// Records that the segment \p part was sent to the region with the hash
-    /// \p region.
-    void noteSent(std::uint32_t part, std::uint32_t region, TimePoint now);
-    /// Returns the hash of the region that probably caches the segment \p part, or
-    /// nothing if it is unknown or was last used too long ago.
-    std::optional<std::uint32_t> regionOf(std::uint32_t part, TimePoint now) const;
+    /// Records that \p segment was sent to the region with the hash \p region.
+    void noteSent(std::uint32_t segment, std::uint32_t region, TimePoint now);
+    /// Returns the hash of the region that probably caches \p segment. Returns
+    /// nothing if the segment is unknown or was last used too long ago.
+    std::optional<std::uint32_t> regionOf(std::uint32_t segment, TimePoint now) const;
 
 private:
     struct Use {
--- a/include/catkinwing/Routing/RegionChoice.h
+++ b/include/catkinwing/Routing/RegionChoice.h
@@ -17,7 +17,7 @@
     /// choice of the region but is not compared with the maximum wait.
     Duration way { 0 };
     /// Predicted duration of the response there, from its first byte.
-    Duration lasts { 0 };
+    Duration responseDuration { 0 };
 };
 
 /// Properties of the request and the local region that affect the choice.
--- a/include/catkinwing/Routing/RegionPressure.h
+++ b/include/catkinwing/Routing/RegionPressure.h
@@ -21,22 +21,22 @@
     double readiness(const std::string& region, TimePoint now) const;
 
 private:
-    struct Learnt {
+    struct Estimate {
         double readiness { 1 };
-        TimePoint at {};
+        TimePoint updatedAt {};
     };
 
-    std::map<std::string, Learnt> m_regions;
+    std::map<std::string, Estimate> m_regions;
 };
 
 /// Returns whether to forward a request to another region without trying
 /// \p home first. The probability is the share of requests that \p home refuses;
 /// it is zero unless another region accepts a larger share.
-bool shouldSpill(const RegionPressure& pressure, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random);
+bool shouldSpill(const RegionPressure& tracker, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random);
 
 /// Chooses at random among \p regions, which maps each region to its number of
 /// endpoints. The weight of a region is its number of endpoints times its
 /// acceptance. Returns nothing if all weights are zero.
-std::optional<std::string> chooseSpillRegion(const RegionPressure& pressure, const std::map<std::string, std::size_t>& regions, TimePoint now, Random& random);
+std::optional<std::string> chooseSpillRegion(const RegionPressure& tracker, const std::map<std::string, std::size_t>& regions, TimePoint now, Random& random);
 
 } // namespace catkinwing
--- a/lib/Routing/AnswerTimes.cpp
+++ b/lib/Routing/AnswerTimes.cpp
@@ -9,13 +9,13 @@
 /// millisecond and send the first byte about 0.1 s after the prefill; their steps
 /// for other requests double the prefill time. They produce an event of five to
 /// seven tokens every 25 to 100 ms.
-static constexpr double firstGuessSeconds = 0.12;
-static constexpr double secondsPerKilotokenGuess = 0.02;
-static constexpr double heldGuessSeconds = 0.5;
-static constexpr double eventGuessSeconds = 0.03;
+static constexpr double defaultFirstByteSeconds = 0.12;
+static constexpr double defaultSecondsPerKilotoken = 0.02;
+static constexpr double defaultSlotSeconds = 0.5;
+static constexpr double defaultEventSeconds = 0.03;
 /// Weight of the prior estimate, in responses. Endpoints of a service differ by a
 /// third in speed and by more than that in load, which a few responses reveal.
-static constexpr double priorAnswers = 6;
+static constexpr double priorResponses = 6;
 /// Weight of the prior event time, in recorded stream progress. A response has
 /// several such records.
 static constexpr double priorEvents = 15;
@@ -25,27 +25,27 @@
 /// Factor by which each response reduces the weight of earlier ones. The last
 /// fifty responses dominate; where there are few entries, each receives that many
 /// within a second under load.
-static constexpr double keptByAnswer = 0.98;
-static constexpr double keptByEvent = 0.98;
+static constexpr double responseDecay = 0.98;
+static constexpr double eventDecay = 0.98;
 /// Half-life of the weight of responses. Without it, an endpoint that was slow
 /// would receive too few requests to show that it has recovered.
-static constexpr std::chrono::seconds answerHalfTime { 10 };
+static constexpr std::chrono::seconds responseHalfLife { 10 };
 /// Bounds of the estimates, which keep a few outliers from producing an extreme
 /// speed.
-static constexpr double leastSecondsPerKilotoken = 0.004;
-static constexpr double mostSecondsPerKilotoken = 0.2;
-static constexpr double leastFirstByteSeconds = 0.001;
+static constexpr double minSecondsPerKilotoken = 0.004;
+static constexpr double maxSecondsPerKilotoken = 0.2;
+static constexpr double minFirstByteSeconds = 0.001;
 /// Upper bound of one recorded time until the first byte. It limits the effect of
 /// a response that was delayed for another reason, such as a paused machine.
-static constexpr double mostSeconds = 5;
+static constexpr double maxFirstByteSeconds = 5;
 /// Weights of responses faster and slower than the present idle time. A faster
 /// response moves the idle time far and a slower one only slightly, because only
 /// about ten of a hundred responses come from an almost idle endpoint.
-static constexpr double quickerWeight = 0.5;
+static constexpr double fasterWeight = 0.5;
 static constexpr double slowerWeight = 0.001;
 /// Upper bound of a recorded interval between events. A longer interval is caused
 /// by a fault or the network and is not the engine's event rate.
-static constexpr double longestPauseSeconds = 1;
+static constexpr double maxEventIntervalSeconds = 1;
 
 static double secondsOf(Duration duration)
 {
@@ -57,18 +57,18 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-static double agedPart(const AnswerTimes& times, TimePoint now)
+static double decayFactor(const AnswerTimes& times, TimePoint now)
 {
-    return std::exp2(-std::chrono::duration<double>(now - times.agedAt) / answerHalfTime);
+    return std::exp2(-std::chrono::duration<double>(now - times.decayedAt) / responseHalfLife);
 }
 
-static void age(AnswerTimes& times, TimePoint now)
+static void applyDecay(AnswerTimes& times, TimePoint now)
 {
-    double part = agedPart(times, now);
-    for (double* sum : { &times.weight, &times.sumKilotokens, &times.sumSeconds, &times.sumSquares, &times.sumProducts, &times.heldWeight,
-             &times.sumHeldSeconds, &times.eventWeight, &times.sumEventSeconds })
-        *sum *= part;
-    times.agedAt = now;
+    double factor = decayFactor(times, now);
+    for (double* sum : { &times.weight, &times.sumKilotokens, &times.sumSeconds, &times.sumSquares, &times.sumProducts, &times.slotWeight,
+             &times.sumSlotSeconds, &times.eventWeight, &times.sumEventSeconds })
+        *sum *= factor;
+    times.decayedAt = now;
 }
 
 static void addPoint(AnswerTimes& times, double kilotokens, double seconds, double weight)
@@ -82,60 +82,60 @@
 
 AnswerEstimate usualAnswers()
 {
-    return { firstGuessSeconds, secondsPerKilotokenGuess, firstGuessSeconds, heldGuessSeconds, eventGuessSeconds };
+    return { defaultFirstByteSeconds, defaultSecondsPerKilotoken, defaultFirstByteSeconds, defaultSlotSeconds, defaultEventSeconds };
 }
 
 void learnFirstByte(AnswerTimes& times, double kilotokens, Duration took, TimePoint now)
 {
-    age(times, now);
+    applyDecay(times, now);
     for (double* sum : { &times.weight, &times.sumKilotokens, &times.sumSeconds, &times.sumSquares, &times.sumProducts })
-        *sum *= keptByAnswer;
-    double seconds = std::min(secondsOf(took), mostSeconds);
+        *sum *= responseDecay;
+    double seconds = std::min(secondsOf(took), maxFirstByteSeconds);
     addPoint(times, kilotokens, seconds, 1);
     if (times.idleSeconds < 0)
-        times.idleSeconds = std::min(seconds, firstGuessSeconds);
-    double weight = seconds < times.idleSeconds ? quickerWeight : slowerWeight;
+        times.idleSeconds = std::min(seconds, defaultFirstByteSeconds);
+    double weight = seconds < times.idleSeconds ? fasterWeight : slowerWeight;
     times.idleSeconds += weight * (seconds - times.idleSeconds);
 }
 
-void learnHeld(AnswerTimes& times, Duration held, TimePoint now)
+void learnHeld(AnswerTimes& times, Duration occupied, TimePoint now)
 {
-    age(times, now);
-    times.heldWeight = times.heldWeight * keptByAnswer + 1;
-    times.sumHeldSeconds = times.sumHeldSeconds * keptByAnswer + secondsOf(held);
+    applyDecay(times, now);
+    times.slotWeight = times.slotWeight * responseDecay + 1;
+    times.sumSlotSeconds = times.sumSlotSeconds * responseDecay + secondsOf(occupied);
 }
 
-void learnEvents(AnswerTimes& times, std::size_t events, Duration pause, TimePoint now)
+void learnEvents(AnswerTimes& times, std::size_t events, Duration interval, TimePoint now)
 {
     if (events == 0)
         return;
-    age(times, now);
-    double seconds = std::min(secondsOf(pause), longestPauseSeconds) / static_cast<double>(events);
-    times.eventWeight = times.eventWeight * keptByEvent + 1;
-    times.sumEventSeconds = times.sumEventSeconds * keptByEvent + seconds;
+    applyDecay(times, now);
+    double seconds = std::min(secondsOf(interval), maxEventIntervalSeconds) / static_cast<double>(events);
+    times.eventWeight = times.eventWeight * eventDecay + 1;
+    times.sumEventSeconds = times.sumEventSeconds * eventDecay + seconds;
 }
 
 // If all responses had the same number of tokens to prefill, they don't determine
 // the slope; the two points of the prior do.
 static void fitLine(AnswerTimes sums, const AnswerEstimate& prior, AnswerEstimate& estimate)
 {
-    addPoint(sums, 0, prior.secondsAtZero, priorAnswers / 2);
-    addPoint(sums, priorKilotokens, prior.secondsAtZero + priorKilotokens * prior.secondsPerKilotoken, priorAnswers / 2);
+    addPoint(sums, 0, prior.secondsAtZero, priorResponses / 2);
+    addPoint(sums, priorKilotokens, prior.secondsAtZero + priorKilotokens * prior.secondsPerKilotoken, priorResponses / 2);
     double spread = sums.weight * sums.sumSquares - sums.sumKilotokens * sums.sumKilotokens;
     double slope = (sums.weight * sums.sumProducts - sums.sumKilotokens * sums.sumSeconds) / spread;
-    estimate.secondsPerKilotoken = std::clamp(slope, leastSecondsPerKilotoken, mostSecondsPerKilotoken);
-    double atZero = (sums.sumSeconds - estimate.secondsPerKilotoken * sums.sumKilotokens) / sums.weight;
-    estimate.secondsAtZero = std::max(atZero, leastFirstByteSeconds);
+    estimate.secondsPerKilotoken = std::clamp(slope, minSecondsPerKilotoken, maxSecondsPerKilotoken);
+    double intercept = (sums.sumSeconds - estimate.secondsPerKilotoken * sums.sumKilotokens) / sums.weight;
+    estimate.secondsAtZero = std::max(intercept, minFirstByteSeconds);
 }
 
 AnswerEstimate estimateAnswers(const AnswerTimes& times, const AnswerEstimate& prior, TimePoint now)
 {
     AnswerTimes sums = times;
-    age(sums, now);
+    applyDecay(sums, now);
     AnswerEstimate estimate;
     fitLine(sums, prior, estimate);
-    estimate.idleSeconds = sums.idleSeconds < 0 ? prior.idleSeconds : std::max(sums.idleSeconds, leastFirstByteSeconds);
-    estimate.heldSeconds = (sums.sumHeldSeconds + priorAnswers * prior.heldSeconds) / (sums.heldWeight + priorAnswers);
+    estimate.idleSeconds = sums.idleSeconds < 0 ? prior.idleSeconds : std::max(sums.idleSeconds, minFirstByteSeconds);
+    estimate.heldSeconds = (sums.sumSlotSeconds + priorResponses * prior.heldSeconds) / (sums.slotWeight + priorResponses);
     estimate.eventSeconds = (sums.sumEventSeconds + priorEvents * prior.eventSeconds) / (sums.eventWeight + priorEvents);
     return estimate;
 }
--- a/lib/Routing/CallerSteering.cpp
+++ b/lib/Routing/CallerSteering.cpp
@@ -28,7 +28,7 @@
         WithoutModel };
 
     struct Ranked {
-        std::size_t place;
+        std::size_t index;
         Nearness nearness;
         Duration distance;
         double score;
@@ -54,9 +54,9 @@
     return entry.zone == request.zone ? Nearness::Zone : Nearness::Region;
 }
 
-static bool goesBefore(const Ranked& a, const Ranked& b)
+static bool isRankedBefore(const Ranked& a, const Ranked& b)
 {
-    return std::make_tuple(a.nearness, a.distance, -a.score, a.place) < std::make_tuple(b.nearness, b.distance, -b.score, b.place);
+    return std::make_tuple(a.nearness, a.distance, -a.score, a.index) < std::make_tuple(b.nearness, b.distance, -b.score, b.index);
 }
 
 static std::string affinityKey(const SteeringRequest& request)
@@ -69,21 +69,21 @@
 {
     std::string key = affinityKey(request);
     std::vector<Ranked> ranked;
-    for (std::size_t place = 0; place < entries.size(); ++place) {
-        const EntryView& entry = entries[place];
+    for (std::size_t index = 0; index < entries.size(); ++index) {
+        const EntryView& entry = entries[index];
         if (entry.draining || !entry.reachable || !isAllowed(request.residency, entry.region))
             continue;
         Nearness nearness = nearnessOf(request, entry);
         Duration distance = nearness == Nearness::OtherRegion ? entry.roundTripTime : Duration::zero();
         double weight = entry.weight * slowStartWeight(slowStart, entry.since, now);
-        ranked.push_back({ place, nearness, distance, rendezvousScore(key, entry.name, weight) });
+        ranked.push_back({ index, nearness, distance, rendezvousScore(key, entry.name, weight) });
     }
-    std::sort(ranked.begin(), ranked.end(), goesBefore);
-    std::vector<std::size_t> places;
-    places.reserve(ranked.size());
+    std::sort(ranked.begin(), ranked.end(), isRankedBefore);
+    std::vector<std::size_t> indexes;
+    indexes.reserve(ranked.size());
     for (const Ranked& rank : ranked)
-        places.push_back(rank.place);
-    return places;
+        indexes.push_back(rank.index);
+    return indexes;
 }
 
 } // namespace catkinwing
--- a/lib/Routing/EndpointChoice.cpp
+++ b/lib/Routing/EndpointChoice.cpp
@@ -10,13 +10,13 @@
 /// by more than this multiple of the segment's prefill time. The multiple is above
 /// 1 because prefilling the segment elsewhere also delays the other requests there
 /// and evicts other segments from the cache.
-static constexpr double readingsBorne = 4;
+static constexpr double maxExcessPrefills = 4;
 /// Multiple of the segment's prefill time by which the wait for its owner may
 /// exceed the maximum wait.
-static constexpr double readingsBeyond = 2;
+static constexpr double maxPrefillsBeyondMaxWait = 2;
 /// Excess over the mean wait that is always tolerated. Without it, short segments
 /// would hardly ever be reused where they are cached.
-static constexpr std::chrono::milliseconds waitBorne { 100 };
+static constexpr std::chrono::milliseconds toleratedExcessWait { 100 };
 
 namespace {
 
@@ -26,14 +26,14 @@
 
 static Candidates withoutSuspects(absl::Span<const EndpointCandidate> candidates)
 {
-    Candidates sound;
+    Candidates preferred;
     Candidates all;
     for (const EndpointCandidate& candidate : candidates) {
         all.push_back(&candidate);
         if (!candidate.isSuspect)
-            sound.push_back(&candidate);
+            preferred.push_back(&candidate);
     }
-    return sound.empty() ? all : sound;
+    return preferred.empty() ? all : preferred;
 }
 
 static Candidates withoutBusy(Candidates candidates)
@@ -71,19 +71,19 @@
 {
     if (demand.longestWait == Duration::max())
         return demand.longestWait;
-    return demand.longestWait + std::chrono::duration_cast<Duration>(demand.readingAgain * readingsBeyond);
+    return demand.longestWait + std::chrono::duration_cast<Duration>(demand.readingAgain * maxPrefillsBeyondMaxWait);
 }
 
-std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedPart)
+std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedSegment)
 {
-    return stableHash(incarnation, stableHash(sharedPart));
+    return stableHash(incarnation, stableHash(sharedSegment));
 }
 
 // Returns the candidates whose wait is within the limit for a shared segment.
 static Candidates withoutOverloaded(const EndpointDemand& demand, Candidates candidates)
 {
-    auto borne = std::chrono::duration_cast<Duration>(demand.readingAgain * readingsBorne) + waitBorne;
-    Duration limit = std::min(meanWait(candidates) + borne, longestWaitForOwner(demand));
+    auto maxExcess = std::chrono::duration_cast<Duration>(demand.readingAgain * maxExcessPrefills) + toleratedExcessWait;
+    Duration limit = std::min(meanWait(candidates) + maxExcess, longestWaitForOwner(demand));
     candidates.erase(std::remove_if(candidates.begin(), candidates.end(), [limit](const auto* candidate) { return candidate->wait > limit; }), candidates.end());
     return candidates;
 }
@@ -120,17 +120,17 @@
 {
     if (candidates.empty())
         return std::nullopt;
-    Candidates sound = withoutSuspects(candidates);
+    Candidates preferred = withoutSuspects(candidates);
     if (!demand.sharedPart.empty()) {
-        Candidates ready = withoutOverloaded(demand, sound);
-        const EndpointCandidate* holder = leastBusyHolder(ready);
-        if (const EndpointCandidate* chosen = holder ? holder : ownerOf(demand, ready))
+        Candidates acceptable = withoutOverloaded(demand, preferred);
+        const EndpointCandidate* holder = leastBusyHolder(acceptable);
+        if (const EndpointCandidate* chosen = holder ? holder : ownerOf(demand, acceptable))
             return chosen->index;
     }
-    Candidates free = withoutBusy(std::move(sound));
-    if (free.empty())
+    Candidates available = withoutBusy(std::move(preferred));
+    if (available.empty())
         return std::nullopt;
-    return lessLoadedOfTwo(free, random).index;
+    return lessLoadedOfTwo(available, random).index;
 }
 
 } // namespace catkinwing
--- a/lib/Routing/EndpointLifecycle.cpp
+++ b/lib/Routing/EndpointLifecycle.cpp
@@ -8,63 +8,63 @@
 /// Maximum number of replaced incarnations kept per endpoint.
 static constexpr std::size_t maxReplaced = 4;
 
-static void noteLeaving(LifecycleStatus& status, const LifecycleSign& sign, TimePoint now)
+static void recordLeaving(LifecycleStatus& status, const LifecycleSign& report, TimePoint now)
 {
-    if (!sign.leaving || status.leaving)
+    if (!report.leaving || status.leaving)
         return;
     status.leaving = true;
-    status.leavingSource = sign.source;
+    status.leavingSource = report.source;
     status.leavingSince = now;
 }
 
-static LifecycleStatus startOf(const LifecycleSign& sign, TimePoint now)
+static LifecycleStatus makeStatus(const LifecycleSign& report, TimePoint now)
 {
     LifecycleStatus status;
-    status.incarnation = sign.incarnation;
+    status.incarnation = report.incarnation;
     status.startedAt = now;
-    noteLeaving(status, sign, now);
+    recordLeaving(status, report, now);
     return status;
 }
 
-LifecycleChange EndpointLifecycle::record(const LifecycleSign& sign, TimePoint now)
+LifecycleChange EndpointLifecycle::record(const LifecycleSign& report, TimePoint now)
 {
-    auto [known, added] = m_entries.try_emplace(sign.endpoint);
+    auto [known, added] = m_entries.try_emplace(report.endpoint);
     Entry& entry = known->second;
-    bool fromEndpoint = sign.source == LifecycleSource::Endpoint;
+    bool fromEndpoint = report.source == LifecycleSource::Endpoint;
     if (added) {
-        entry.present = startOf(sign, now);
+        entry.present = makeStatus(report, now);
         entry.confirmed = fromEndpoint;
         return LifecycleChange::Started;
     }
-    if (sign.incarnation != entry.present.incarnation)
-        return recordOther(entry, sign, now);
+    if (report.incarnation != entry.present.incarnation)
+        return recordOtherIncarnation(entry, report, now);
     entry.confirmed = entry.confirmed || fromEndpoint;
     bool wasLeaving = entry.present.leaving;
-    noteLeaving(entry.present, sign, now);
+    recordLeaving(entry.present, report, now);
     return entry.present.leaving && !wasLeaving ? LifecycleChange::Leaving : LifecycleChange::None;
 }
 
-LifecycleChange EndpointLifecycle::recordOther(Entry& entry, const LifecycleSign& sign, TimePoint now) const
+LifecycleChange EndpointLifecycle::recordOtherIncarnation(Entry& entry, const LifecycleSign& report, TimePoint now) const
 {
-    bool fromEndpoint = sign.source == LifecycleSource::Endpoint;
-    auto isNamed = [&sign](const LifecycleStatus& status) { return status.incarnation == sign.incarnation; };
-    auto old = std::find_if(entry.replaced.begin(), entry.replaced.end(), isNamed);
-    if (old != entry.replaced.end() && !fromEndpoint) {
-        noteLeaving(*old, sign, now);
+    bool fromEndpoint = report.source == LifecycleSource::Endpoint;
+    auto isSameIncarnation = [&report](const LifecycleStatus& status) { return status.incarnation == report.incarnation; };
+    auto former = std::find_if(entry.replaced.begin(), entry.replaced.end(), isSameIncarnation);
+    if (former != entry.replaced.end() && !fromEndpoint) {
+        recordLeaving(*former, report, now);
         return LifecycleChange::None;
     }
     // A live incarnation that the endpoint itself has reported takes precedence
     // over an unconfirmed new one: an outdated list may name an earlier incarnation.
-    if (old == entry.replaced.end() && !fromEndpoint && entry.confirmed && !entry.present.leaving)
+    if (former == entry.replaced.end() && !fromEndpoint && entry.confirmed && !entry.present.leaving)
         return LifecycleChange::None;
-    LifecycleStatus next = startOf(sign, now);
-    if (old != entry.replaced.end()) {
+    LifecycleStatus next = makeStatus(report, now);
+    if (former != entry.replaced.end()) {
         // The endpoint itself reports the replaced incarnation, which overrides
         // its replacement. The state of the incarnation is restored, including
         // whether it is leaving.
-        next = *old;
-        noteLeaving(next, sign, now);
-        entry.replaced.erase(old);
+        next = *former;
+        recordLeaving(next, report, now);
+        entry.replaced.erase(former);
     }
     entry.replaced.push_back(std::exchange(entry.present, std::move(next)));
     if (entry.replaced.size() > maxReplaced)
@@ -79,13 +79,13 @@
     return known == m_entries.end() ? nullptr : &known->second.present;
 }
 
-bool EndpointLifecycle::takesWork(absl::string_view endpoint) const
+bool EndpointLifecycle::acceptsRequests(absl::string_view endpoint) const
 {
     const LifecycleStatus* known = status(endpoint);
     return known && !known->leaving;
 }
 
-void EndpointLifecycle::forget(absl::string_view endpoint)
+void EndpointLifecycle::remove(absl::string_view endpoint)
 {
     m_entries.erase(endpoint);
 }
--- a/lib/Routing/EndpointView.cpp
+++ b/lib/Routing/EndpointView.cpp
@@ -8,16 +8,16 @@
 
 /// Dispatches and endings older than this are dropped even if no load report
 /// arrives.
-static constexpr Duration dispatchMemory = std::chrono::seconds(10);
+static constexpr Duration maxRecordAge = std::chrono::seconds(10);
 /// Weight of a new sample in the moving averages.
-static constexpr double learningWeight = 0.1;
+static constexpr double sampleWeight = 0.1;
 
 unsigned inFlightLimit(const EndpointView& endpoint)
 {
     if (endpoint.credits == 0)
         return 0;
-    auto ramped = static_cast<unsigned>(std::floor(endpoint.credits * endpoint.slowStartWeight));
-    return std::max(ramped, 1U);
+    auto scaled = static_cast<unsigned>(std::floor(endpoint.credits * endpoint.slowStartWeight));
+    return std::max(scaled, 1U);
 }
 
 bool isOpen(const EndpointView& endpoint)
@@ -56,7 +56,7 @@
     endpoint.ownInFlight += 1;
     endpoint.ownPendingPrefillTokens += prefillTokens;
     addToBacklog(endpoint, dispatch);
-    dropDispatchesUntil(endpoint, now - dispatchMemory);
+    dropDispatchesUntil(endpoint, now - maxRecordAge);
     endpoint.dispatchesSinceReport.push_back(dispatch);
 }
 
@@ -70,19 +70,19 @@
     if (endpoint.ownInFlight == 0)
         return;
     endpoint.ownInFlight -= 1;
-    dropEndingsUntil(endpoint, now - dispatchMemory);
+    dropEndingsUntil(endpoint, now - maxRecordAge);
     endpoint.endingsSinceReport.push_back(now);
 }
 
 // Returns the requests of other entries in \p report. Subtracts all of this entry's
 // requests at the time of the report, including those that have ended since;
 // otherwise they would count as a queue ahead of the requests sent since.
-static unsigned othersIn(const EndpointView& endpoint, const EndpointLoadReport& report)
+static unsigned requestsOfOthers(const EndpointView& endpoint, const EndpointLoadReport& report)
 {
     std::size_t reported = report.running + report.waiting;
-    std::size_t ownThen = endpoint.ownInFlight + endpoint.endingsSinceReport.size();
-    ownThen -= std::min(ownThen, endpoint.dispatchesSinceReport.size());
-    return static_cast<unsigned>(reported - std::min(reported, ownThen));
+    std::size_t ownAtReport = endpoint.ownInFlight + endpoint.endingsSinceReport.size();
+    ownAtReport -= std::min(ownAtReport, endpoint.dispatchesSinceReport.size());
+    return static_cast<unsigned>(reported - std::min(reported, ownAtReport));
 }
 
 void recordReport(EndpointView& endpoint, const EndpointLoadReport& report)
@@ -93,24 +93,24 @@
     endpoint.backlog = { report.queuedPrefillTokens, report.measuredAt };
     dropDispatchesUntil(endpoint, report.measuredAt);
     dropEndingsUntil(endpoint, report.measuredAt);
-    endpoint.othersInFlight = othersIn(endpoint, report);
+    endpoint.othersInFlight = requestsOfOthers(endpoint, report);
     for (const OwnDispatch& dispatch : endpoint.dispatchesSinceReport)
         addToBacklog(endpoint, dispatch);
 }
 
-static double movedTowards(double learned, double sample)
+static double updatedAverage(double average, double sample)
 {
-    return learned + learningWeight * (sample - learned);
+    return average + sampleWeight * (sample - average);
 }
 
 void learnSpeeds(EndpointView& endpoint, const ServiceSample& sample)
 {
     if (sample.prefillTokens > 0 && sample.prefillTime > Duration::zero())
-        endpoint.prefillTokensPerSecond = movedTowards(endpoint.prefillTokensPerSecond, sample.prefillTokens / toSeconds(sample.prefillTime));
+        endpoint.prefillTokensPerSecond = updatedAverage(endpoint.prefillTokensPerSecond, sample.prefillTokens / toSeconds(sample.prefillTime));
     if (sample.decodeTokens > 0 && sample.decodeTime > Duration::zero())
-        endpoint.decodeTokensPerSecond = movedTowards(endpoint.decodeTokensPerSecond, sample.decodeTokens / toSeconds(sample.decodeTime));
+        endpoint.decodeTokensPerSecond = updatedAverage(endpoint.decodeTokensPerSecond, sample.decodeTokens / toSeconds(sample.decodeTime));
     if (sample.total > Duration::zero()) {
-        double mean = movedTowards(toSeconds(endpoint.requestDuration), toSeconds(sample.total));
+        double mean = updatedAverage(toSeconds(endpoint.requestDuration), toSeconds(sample.total));
         endpoint.requestDuration = fromSeconds(mean);
     }
 }
--- a/lib/Routing/PartHolders.cpp
+++ b/lib/Routing/PartHolders.cpp
@@ -9,53 +9,53 @@
 /// Fraction of an engine's cache that is available for segments that no running
 /// request uses. The rest is taken by running requests and by prompts that aren't
 /// announced to the other entries.
-static constexpr double memoryForParts = 0.6;
+static constexpr double segmentCacheFraction = 0.6;
 /// Default for engines that don't state their cache size.
-static constexpr std::int64_t usualMemoryTokens = 300'000;
+static constexpr std::int64_t defaultCacheTokens = 300'000;
 /// Maximum number of recorded segments, of about 40 bytes each: enough for three
 /// hundred engines with a hundred segments each.
-static constexpr std::size_t maxParts = 32'768;
+static constexpr std::size_t maxSegments = 32'768;
 
-std::uint32_t partHash(absl::string_view sharedPart)
+std::uint32_t partHash(absl::string_view sharedSegment)
 {
-    return static_cast<std::uint32_t>(stableHash(sharedPart));
+    return static_cast<std::uint32_t>(stableHash(sharedSegment));
 }
 
-bool PartHolders::isKept(const Holder& holder) const
+bool PartHolders::isCached(const Holder& holder) const
 {
     auto stored = m_stored.find(holder.endpoint);
-    return stored == m_stored.end() || stored->second <= holder.keptUntil;
+    return stored == m_stored.end() || stored->second <= holder.evictionThreshold;
 }
 
 PartHolders::PartHolders()
 {
-    setMemory(usualMemoryTokens);
+    setMemory(defaultCacheTokens);
 }
 
 void PartHolders::setMemory(std::int64_t tokens)
 {
     if (tokens > 0)
-        m_room = static_cast<std::uint64_t>(static_cast<double>(tokens) * memoryForParts / tokensPerKilotoken);
+        m_segmentCapacity = static_cast<std::uint64_t>(static_cast<double>(tokens) * segmentCacheFraction / tokensPerKilotoken);
 }
 
-void PartHolders::noteSent(std::uint32_t endpoint, std::uint32_t part, std::uint32_t kilotokens)
+void PartHolders::noteSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens)
 {
-    if (m_holders.size() >= maxParts)
+    if (m_holders.size() >= maxSegments)
         dropStale();
     std::uint64_t& stored = m_stored[endpoint];
     stored += kilotokens;
-    std::uint64_t keptUntil = stored + m_room;
-    Holders& holders = m_holders[part];
+    std::uint64_t evictionThreshold = stored + m_segmentCapacity;
+    Holders& holders = m_holders[segment];
     auto known = std::find_if(holders.begin(), holders.end(), [endpoint](const Holder& holder) { return holder.endpoint == endpoint; });
     if (known != holders.end())
-        known->keptUntil = keptUntil;
+        known->evictionThreshold = evictionThreshold;
     else
-        holders.push_back({ endpoint, keptUntil });
+        holders.push_back({ endpoint, evictionThreshold });
 }
 
-void PartHolders::forget(std::uint32_t endpoint, std::uint32_t part)
+void PartHolders::forget(std::uint32_t endpoint, std::uint32_t segment)
 {
-    auto found = m_holders.find(part);
+    auto found = m_holders.find(segment);
     if (found == m_holders.end())
         return;
     Holders& holders = found->second;
@@ -64,13 +64,13 @@
         m_holders.erase(found);
 }
 
-bool PartHolders::holds(std::uint32_t endpoint, std::uint32_t part) const
+bool PartHolders::holds(std::uint32_t endpoint, std::uint32_t segment) const
 {
-    auto found = m_holders.find(part);
+    auto found = m_holders.find(segment);
     if (found == m_holders.end())
         return false;
     const Holders& holders = found->second;
-    return std::any_of(holders.begin(), holders.end(), [&](const Holder& holder) { return holder.endpoint == endpoint && isKept(holder); });
+    return std::any_of(holders.begin(), holders.end(), [&](const Holder& holder) { return holder.endpoint == endpoint && isCached(holder); });
 }
 
 // Segments of removed endpoints never become stale, since those endpoints cache
@@ -78,15 +78,15 @@
 // restore them within seconds.
 void PartHolders::dropStale()
 {
-    for (auto part = m_holders.begin(); part != m_holders.end();) {
-        Holders& holders = part->second;
-        holders.erase(std::remove_if(holders.begin(), holders.end(), [this](const Holder& holder) { return !isKept(holder); }), holders.end());
+    for (auto segment = m_holders.begin(); segment != m_holders.end();) {
+        Holders& holders = segment->second;
+        holders.erase(std::remove_if(holders.begin(), holders.end(), [this](const Holder& holder) { return !isCached(holder); }), holders.end());
         if (holders.empty())
-            m_holders.erase(part++);
+            m_holders.erase(segment++);
         else
-            ++part;
+            ++segment;
     }
-    if (m_holders.size() < maxParts)
+    if (m_holders.size() < maxSegments)
         return;
     m_holders.clear();
     m_stored.clear();
--- a/lib/Routing/PartRegionChoice.cpp
+++ b/lib/Routing/PartRegionChoice.cpp
@@ -6,28 +6,28 @@
 /// proportional share, because all entries use the same load reports and would
 /// otherwise overload a region before its next report. The value is about the
 /// prefill time of a long segment.
-static constexpr std::chrono::milliseconds wholeGain { 300 };
+static constexpr std::chrono::milliseconds fullGain { 300 };
 
-static Duration beginsAfter(const PartRegionOption& option, Duration readingAgain)
+static Duration timeToStart(const PartRegionOption& option, Duration prefillTime)
 {
-    return option.wait + option.way + (option.keepsPart ? Duration::zero() : readingAgain);
+    return option.wait + option.way + (option.keepsPart ? Duration::zero() : prefillTime);
 }
 
-const PartRegionOption* choosePartRegion(absl::Span<const PartRegionOption> options, Duration readingAgain, Random& random)
+const PartRegionOption* choosePartRegion(absl::Span<const PartRegionOption> options, Duration prefillTime, Random& random)
 {
-    const PartRegionOption* keeper = nullptr;
+    const PartRegionOption* holder = nullptr;
     const PartRegionOption* soonest = nullptr;
     for (const PartRegionOption& option : options) {
-        if (!soonest || beginsAfter(option, readingAgain) < beginsAfter(*soonest, readingAgain))
+        if (!soonest || timeToStart(option, prefillTime) < timeToStart(*soonest, prefillTime))
             soonest = &option;
-        if (option.keepsPart && (!keeper || beginsAfter(option, readingAgain) < beginsAfter(*keeper, readingAgain)))
-            keeper = &option;
+        if (option.keepsPart && (!holder || timeToStart(option, prefillTime) < timeToStart(*holder, prefillTime)))
+            holder = &option;
     }
-    if (!keeper || keeper == soonest)
+    if (!holder || holder == soonest)
         return soonest;
-    Duration gain = beginsAfter(*keeper, readingAgain) - beginsAfter(*soonest, readingAgain);
-    double part = std::chrono::duration<double>(gain) / wholeGain;
-    return random.unit() < part ? soonest : keeper;
+    Duration gain = timeToStart(*holder, prefillTime) - timeToStart(*soonest, prefillTime);
+    double share = std::chrono::duration<double>(gain) / fullGain;
+    return random.unit() < share ? soonest : holder;
 }
 
 } // namespace catkinwing
--- a/lib/Routing/PartRegions.cpp
+++ b/lib/Routing/PartRegions.cpp
@@ -5,22 +5,22 @@
 /// Time after its last use at which a segment has probably been evicted. An engine
 /// with a cache of 300,000 tokens that prefills 20,000 tokens per second keeps an
 /// unused segment for about as long.
-static constexpr std::chrono::seconds keptUnused { 10 };
+static constexpr std::chrono::seconds segmentLifetime { 10 };
 /// Maximum number of recorded segments. Beyond it all records are dropped; new
 /// dispatches restore them within seconds.
-static constexpr std::size_t maxParts = 32'768;
+static constexpr std::size_t maxSegments = 32'768;
 
-void PartRegions::noteSent(std::uint32_t part, std::uint32_t region, TimePoint now)
+void PartRegions::noteSent(std::uint32_t segment, std::uint32_t region, TimePoint now)
 {
-    if (m_uses.size() >= maxParts)
+    if (m_uses.size() >= maxSegments)
         m_uses.clear();
-    m_uses[part] = { region, now };
+    m_uses[segment] = { region, now };
 }
 
-std::optional<std::uint32_t> PartRegions::regionOf(std::uint32_t part, TimePoint now) const
+std::optional<std::uint32_t> PartRegions::regionOf(std::uint32_t segment, TimePoint now) const
 {
-    auto found = m_uses.find(part);
-    if (found == m_uses.end() || now - found->second.at > keptUnused)
+    auto found = m_uses.find(segment);
+    if (found == m_uses.end() || now - found->second.at > segmentLifetime)
         return std::nullopt;
     return found->second.region;
 }
--- a/lib/Routing/RegionChoice.cpp
+++ b/lib/Routing/RegionChoice.cpp
@@ -7,15 +7,15 @@
 /// Fraction of the maximum wait up to which the wait alone moves no request to
 /// another region: forwarding costs a round trip and traffic, while the first event
 /// still arrives in time here.
-static constexpr double partBorneHere = 0.5;
+static constexpr double toleratedWaitFraction = 0.5;
 
 /// Fraction of the local response time by which another region must be faster.
 /// Engine speeds fluctuate by about as much.
-static constexpr double gainWanted = 0.25;
+static constexpr double minGainFraction = 0.25;
 
-static Duration endsAfter(const RegionOption& option)
+static Duration timeToCompletion(const RegionOption& option)
 {
-    return *option.wait + option.way + option.lasts;
+    return *option.wait + option.way + option.responseDuration;
 }
 
 // Picks two regions at random and returns the one that completes the response
@@ -27,24 +27,24 @@
         return nullptr;
     const RegionOption* first = known[random.below(known.size())];
     const RegionOption* second = known[random.below(known.size())];
-    return endsAfter(*second) < endsAfter(*first) ? second : first;
+    return timeToCompletion(*second) < timeToCompletion(*first) ? second : first;
 }
 
-static double ratioOf(Duration part, Duration whole)
+static double ratioOf(Duration numerator, Duration denominator)
 {
-    return std::chrono::duration<double>(part) / std::chrono::duration<double>(whole);
+    return std::chrono::duration<double>(numerator) / std::chrono::duration<double>(denominator);
 }
 
 // A long wait and a slow response are independent reasons to forward a request; the
 // higher of their probabilities applies.
-static bool goesAway(const RegionDemand& demand, const RegionOption& away, Random& random)
+static bool shouldForward(const RegionDemand& demand, const RegionOption& other, Random& random)
 {
-    Duration borne = std::chrono::duration_cast<Duration>(demand.longestWait * partBorneHere);
-    bool isSooner = *away.wait + away.way < *demand.waitHere;
-    double byWait = isSooner && *demand.waitHere > borne ? ratioOf(*demand.waitHere - borne, demand.longestWait - borne) : 0;
-    Duration gain = demand.lastsHere - away.lasts - away.way;
-    double byPace = demand.lastsHere > Duration::zero() ? ratioOf(gain, demand.lastsHere) - gainWanted : 0;
-    return random.unit() < std::max(byWait, byPace);
+    Duration toleratedWait = std::chrono::duration_cast<Duration>(demand.longestWait * toleratedWaitFraction);
+    bool isSooner = *other.wait + other.way < *demand.waitHere;
+    double byWait = isSooner && *demand.waitHere > toleratedWait ? ratioOf(*demand.waitHere - toleratedWait, demand.longestWait - toleratedWait) : 0;
+    Duration gain = demand.lastsHere - other.responseDuration - other.way;
+    double byDuration = demand.lastsHere > Duration::zero() ? ratioOf(gain, demand.lastsHere) - minGainFraction : 0;
+    return random.unit() < std::max(byWait, byDuration);
 }
 
 RegionChoice chooseRegion(const RegionDemand& demand, const std::vector<RegionOption>& others, Random& random)
@@ -56,12 +56,12 @@
         if (option.wait && *option.wait <= demand.longestWait)
             known.push_back(&option);
     }
-    const RegionOption* away = soonerOfTwo(known, random);
+    const RegionOption* other = soonerOfTwo(known, random);
     bool mayStay = demand.waitHere && *demand.waitHere <= demand.longestWait;
-    if (mayStay && !(away && goesAway(demand, *away, random)))
+    if (mayStay && !(other && shouldForward(demand, *other, random)))
         return { RegionVerdict::Here, {} };
-    if (away)
-        return { RegionVerdict::Away, away->region };
+    if (other)
+        return { RegionVerdict::Away, other->region };
     return { hasUnknown ? RegionVerdict::Ask : RegionVerdict::Nowhere, {} };
 }
 
--- a/lib/Routing/RegionPressure.cpp
+++ b/lib/Routing/RegionPressure.cpp
@@ -7,12 +7,12 @@
 /// Fraction of the acceptance that a refusal removes, and amount that an accepted
 /// request adds. They balance where one request in twenty is refused. Fewer refusals
 /// would leave capacity nearby idle; more would delay requests by refusals.
-static constexpr double lostByRefusal = 0.12;
-static constexpr double gainedByAnswer = 0.006;
+static constexpr double refusalLossFraction = 0.12;
+static constexpr double gainPerAcceptedRequest = 0.006;
 /// Acceptance regained per second since the last update.
-static constexpr double gainedPerSecond = 0.06;
+static constexpr double recoveryPerSecond = 0.06;
 /// Lower bound after a refusal.
-static constexpr double leastReadiness = 0.03;
+static constexpr double minAcceptance = 0.03;
 /// Acceptance at or above which no request is spilled, because spilling costs a
 /// round trip between regions.
 static constexpr double spillThreshold = 0.9;
@@ -22,8 +22,8 @@
     auto found = m_regions.find(region);
     if (found == m_regions.end())
         return 1;
-    double seconds = std::chrono::duration<double>(now - found->second.at).count();
-    return std::min(1.0, found->second.readiness + seconds * gainedPerSecond);
+    double seconds = std::chrono::duration<double>(now - found->second.updatedAt).count();
+    return std::min(1.0, found->second.readiness + seconds * recoveryPerSecond);
 }
 
 void RegionPressure::noteTaken(const std::string& region, TimePoint now)
@@ -31,42 +31,42 @@
     auto found = m_regions.find(region);
     if (found == m_regions.end())
         return;
-    double grown = readiness(region, now) + gainedByAnswer;
-    if (grown >= 1)
+    double increased = readiness(region, now) + gainPerAcceptedRequest;
+    if (increased >= 1)
         m_regions.erase(found);
     else
-        found->second = { grown, now };
+        found->second = { increased, now };
 }
 
 void RegionPressure::noteRefused(const std::string& region, TimePoint now)
 {
-    double left = readiness(region, now) * (1 - lostByRefusal);
-    m_regions[region] = { std::max(left, leastReadiness), now };
+    double reduced = readiness(region, now) * (1 - refusalLossFraction);
+    m_regions[region] = { std::max(reduced, minAcceptance), now };
 }
 
-bool shouldSpill(const RegionPressure& pressure, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random)
+bool shouldSpill(const RegionPressure& tracker, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random)
 {
-    double ready = pressure.readiness(home, now);
-    if (ready >= spillThreshold)
+    double homeAcceptance = tracker.readiness(home, now);
+    if (homeAcceptance >= spillThreshold)
         return false;
     double best = 0;
     for (const auto& [region, endpoints] : others) {
         if (endpoints > 0)
-            best = std::max(best, pressure.readiness(region, now));
+            best = std::max(best, tracker.readiness(region, now));
     }
-    return best > ready && random.unit() > ready;
+    return best > homeAcceptance && random.unit() > homeAcceptance;
 }
 
-std::optional<std::string> chooseSpillRegion(const RegionPressure& pressure, const std::map<std::string, std::size_t>& regions, TimePoint now, Random& random)
+std::optional<std::string> chooseSpillRegion(const RegionPressure& tracker, const std::map<std::string, std::size_t>& regions, TimePoint now, Random& random)
 {
     double sum = 0;
     for (const auto& [region, endpoints] : regions)
-        sum += static_cast<double>(endpoints) * pressure.readiness(region, now);
+        sum += static_cast<double>(endpoints) * tracker.readiness(region, now);
     if (sum <= 0)
         return std::nullopt;
     double point = random.unit() * sum;
     for (const auto& [region, endpoints] : regions) {
-        point -= static_cast<double>(endpoints) * pressure.readiness(region, now);
+        point -= static_cast<double>(endpoints) * tracker.readiness(region, now);
         if (point < 0)
             return region;
     }
--- a/unittests/Routing/AnswerTimesTest.cpp
+++ b/unittests/Routing/AnswerTimesTest.cpp
@@ -22,13 +22,13 @@
 
 /// Records responses of an engine that sends the first byte after \p floor plus
 /// \p perKilotoken per thousand tokens, with up to 20% random deviation.
-static void learn(AnswerTimes& times, Duration floor, Duration perKilotoken, int answers, Random& random)
+static void recordResponses(AnswerTimes& times, Duration floor, Duration perKilotoken, int responses, Random& random)
 {
-    for (int i = 0; i < answers; ++i) {
+    for (int i = 0; i < responses; ++i) {
         // One request in ten has no tokens to prefill.
         double kilotokens = i % 10 == 0 ? 0 : random.unit() * 30;
-        double off = 0.8 + 0.4 * random.unit();
-        auto took = std::chrono::duration_cast<Duration>((floor + perKilotoken * kilotokens) * off);
+        double deviation = 0.8 + 0.4 * random.unit();
+        auto took = std::chrono::duration_cast<Duration>((floor + perKilotoken * kilotokens) * deviation);
         learnFirstByte(times, kilotokens, took, start);
     }
 }
@@ -37,7 +37,7 @@
 {
     Random random(4);
     AnswerTimes times;
-    learn(times, 60ms, 40ms, 100, random);
+    recordResponses(times, 60ms, 40ms, 100, random);
     CHECK(milliseconds(idleFirstByte(estimateOf(times))) == Approx(60).margin(30));
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) == Approx(40).epsilon(0.2));
 }
@@ -46,9 +46,9 @@
 {
     Random random(4);
     AnswerTimes times;
-    learn(times, 100ms, 15ms, 300, random);
+    recordResponses(times, 100ms, 15ms, 300, random);
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) == Approx(15).epsilon(0.2));
-    learn(times, 100ms, 60ms, 100, random);
+    recordResponses(times, 100ms, 60ms, 100, random);
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) > 40);
 }
 
--- a/unittests/Routing/CallerSteeringTest.cpp
+++ b/unittests/Routing/CallerSteeringTest.cpp
@@ -40,8 +40,8 @@
 static std::vector<std::string> steer(const SteeringRequest& request, const std::vector<EntryView>& entries, TimePoint now = start)
 {
     std::vector<std::string> names;
-    for (std::size_t place : steerCallers(request, entries, {}, now))
-        names.push_back(entries[place].name);
+    for (std::size_t index : steerCallers(request, entries, {}, now))
+        names.push_back(entries[index].name);
     return names;
 }
 
--- a/unittests/Routing/EndpointChoiceTest.cpp
+++ b/unittests/Routing/EndpointChoiceTest.cpp
@@ -6,7 +6,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static std::vector<EndpointCandidate> candidates(const std::vector<std::string>& names)
+static std::vector<EndpointCandidate> makeCandidates(const std::vector<std::string>& names)
 {
     std::vector<EndpointCandidate> list;
     for (std::size_t i = 0; i < names.size(); ++i)
@@ -18,14 +18,14 @@
 
 TEST_CASE("all entries choose the same endpoint for a shared segment")
 {
-    std::vector<EndpointCandidate> list = candidates(names);
+    std::vector<EndpointCandidate> list = makeCandidates(names);
     std::map<std::size_t, int> counts;
-    for (int part = 0; part < 500; ++part) {
-        Random one(1);
-        Random other(2);
-        EndpointDemand demand { std::to_string(part) };
-        std::optional<std::size_t> chosen = chooseEndpoint(list, demand, one);
-        CHECK(chosen == chooseEndpoint(list, demand, other));
+    for (int segment = 0; segment < 500; ++segment) {
+        Random firstRandom(1);
+        Random secondRandom(2);
+        EndpointDemand demand { std::to_string(segment) };
+        std::optional<std::size_t> chosen = chooseEndpoint(list, demand, firstRandom);
+        CHECK(chosen == chooseEndpoint(list, demand, secondRandom));
         ++counts[*chosen];
     }
     for (const auto& [index, count] : counts)
@@ -36,10 +36,10 @@
 TEST_CASE("removing an endpoint moves only the shared segments that it owned")
 {
     Random random(1);
-    std::vector<EndpointCandidate> all = candidates(names);
+    std::vector<EndpointCandidate> all = makeCandidates(names);
     std::vector<EndpointCandidate> fewer(all.begin(), all.end() - 1);
-    for (int part = 0; part < 200; ++part) {
-        EndpointDemand demand { std::to_string(part) };
+    for (int segment = 0; segment < 200; ++segment) {
+        EndpointDemand demand { std::to_string(segment) };
         std::size_t before = *chooseEndpoint(all, demand, random);
         if (before != all.back().index)
             CHECK(*chooseEndpoint(fewer, demand, random) == before);
@@ -51,7 +51,7 @@
 TEST_CASE("a request goes to the least busy endpoint that caches its shared segment")
 {
     Random random(1);
-    std::vector<EndpointCandidate> list = candidates(names);
+    std::vector<EndpointCandidate> list = makeCandidates(names);
     EndpointDemand demand { "part", 200ms };
     std::size_t owner = *chooseEndpoint(list, demand, random);
     std::size_t holder = (owner + 1) % list.size();
@@ -71,7 +71,7 @@
 TEST_CASE("an owner whose wait is far above the mean is not chosen")
 {
     Random random(1);
-    std::vector<EndpointCandidate> list = candidates(names);
+    std::vector<EndpointCandidate> list = makeCandidates(names);
     EndpointDemand demand { "part", 200ms };
     std::size_t owner = *chooseEndpoint(list, demand, random);
     list[owner].wait = 700ms;
@@ -86,7 +86,7 @@
 TEST_CASE("the wait for an owner may exceed the maximum by at most twice the segment's prefill time")
 {
     Random random(1);
-    std::vector<EndpointCandidate> list = candidates(names);
+    std::vector<EndpointCandidate> list = makeCandidates(names);
     EndpointDemand demand { "part", 200ms, 500ms };
     std::size_t owner = *chooseEndpoint(list, demand, random);
     for (EndpointCandidate& candidate : list) {
@@ -104,7 +104,7 @@
 TEST_CASE("an endpoint that is too busy is not chosen, even if it is the only candidate")
 {
     Random random(1);
-    std::vector<EndpointCandidate> list = candidates({ "a" });
+    std::vector<EndpointCandidate> list = makeCandidates({ "a" });
     list[0].isTooBusy = true;
     CHECK_FALSE(chooseEndpoint(list, {}, random));
 }
@@ -112,7 +112,7 @@
 TEST_CASE("suspects are chosen only if all candidates are suspects")
 {
     Random random(1);
-    std::vector<EndpointCandidate> list = candidates(names);
+    std::vector<EndpointCandidate> list = makeCandidates(names);
     for (EndpointCandidate& candidate : list)
         candidate.isSuspect = candidate.index != 3;
     for (int i = 0; i < 50; ++i)
@@ -125,7 +125,7 @@
 TEST_CASE("without a shared segment the less loaded of two random candidates is chosen")
 {
     Random random(1);
-    std::vector<EndpointCandidate> list = candidates(names);
+    std::vector<EndpointCandidate> list = makeCandidates(names);
     list[0].load = 100ms;
     for (int i = 0; i < 200; ++i)
         CHECK(chooseEndpoint(list, {}, random) != 0u);
--- a/unittests/Routing/PartHoldersTest.cpp
+++ b/unittests/Routing/PartHoldersTest.cpp
@@ -45,9 +45,9 @@
 TEST_CASE("the number of recorded segments is bounded")
 {
     PartHolders holders;
-    for (std::uint32_t part = 0; part < 200'000; ++part)
-        holders.noteSent(part % 10'000, part, 17);
-    CHECK(holders.parts() <= 32'768);
+    for (std::uint32_t segment = 0; segment < 200'000; ++segment)
+        holders.noteSent(segment % 10'000, segment, 17);
+    CHECK(holders.segments() <= 32'768);
     CHECK(holders.holds(199'999 % 10'000, 199'999));
 }
 
--- a/unittests/Routing/PartRegionChoiceTest.cpp
+++ b/unittests/Routing/PartRegionChoiceTest.cpp
@@ -6,12 +6,12 @@
 using namespace std::chrono_literals;
 
 /// Returns the share of a thousand requests that go to \p region.
-static double shareOf(const std::string& region, const std::vector<PartRegionOption>& options, Duration readingAgain)
+static double shareOf(const std::string& region, const std::vector<PartRegionOption>& options, Duration prefillTime)
 {
     Random random(5);
     int chosen = 0;
     for (int i = 0; i < 1'000; ++i)
-        chosen += choosePartRegion(options, readingAgain, random)->region == region ? 1 : 0;
+        chosen += choosePartRegion(options, prefillTime, random)->region == region ? 1 : 0;
     return chosen / 1'000.0;
 }
 
--- a/unittests/Routing/RegionChoiceTest.cpp
+++ b/unittests/Routing/RegionChoiceTest.cpp
@@ -45,7 +45,7 @@
     CHECK(away > 300);
     CHECK(away < 600);
     demand.lastsHere = 200ms;
-    faster.lasts = 150ms;
+    faster.responseDuration = 150ms;
     for (int i = 0; i < 100; ++i)
         CHECK(chooseRegion(demand, { faster }, random).verdict == RegionVerdict::Here);
 }
@@ -82,31 +82,32 @@
 // An engine prefills a thousand tokens in 20 ms under concurrent load, so that four
 // engines prefill 200 thousand tokens per second. The peak is twice that in one
 // region while the others are idle, as with peaks at different hours. Reports are
-// 300 ms apart.
+// renewed every 300 ms. This stands for a mean age of 0.3 s, which results from the
+// report interval, the network delay and own requests sent since.
 TEST_CASE("a load peak in one region is distributed over all regions without overloading one of them")
 {
     Random random(9);
-    Regions world;
-    Duration longest = 400ms;
+    Regions simulation;
+    Duration maxWait = 400ms;
     int refused = 0;
     int late = 0;
     int sent = 0;
-    double mostElsewhere = 0;
+    double maxElsewhere = 0;
     for (int step = 0; step < 10'000; ++step) {
         if (step % 300 == 0)
-            world.reported = world.kilotokens;
+            simulation.reported = simulation.kilotokens;
         // Each step is a millisecond, in which four engines prefill 200 tokens.
-        for (double& kilotokens : world.kilotokens)
+        for (double& kilotokens : simulation.kilotokens)
             kilotokens = std::max(0.0, kilotokens - 0.2);
         // 400 requests per second of a thousand tokens each, all in the region north.
         if (random.unit() >= 0.4)
             continue;
         RegionDemand demand;
-        demand.waitHere = world.waitOf(world.kilotokens[0]);
-        demand.longestWait = longest;
+        demand.waitHere = simulation.waitOf(simulation.kilotokens[0]);
+        demand.longestWait = maxWait;
         std::vector<RegionOption> others;
         for (std::size_t region : { 1, 2 })
-            others.push_back({ Regions::names[region], world.waitOf(world.reported[region]), 115ms });
+            others.push_back({ Regions::names[region], simulation.waitOf(simulation.reported[region]), 115ms });
         RegionChoice choice = chooseRegion(demand, others, random);
         ++sent;
         if (choice.verdict == RegionVerdict::Nowhere) {
@@ -115,12 +116,12 @@
         }
         std::size_t region = choice.verdict == RegionVerdict::Here ? 0 : choice.region == "south" ? 1
                                                                                                   : 2;
-        late += world.waitOf(world.kilotokens[region]) > longest + 200ms;
-        world.kilotokens[region] += 1;
-        mostElsewhere = std::max({ mostElsewhere, world.kilotokens[1], world.kilotokens[2] });
+        late += simulation.waitOf(simulation.kilotokens[region]) > maxWait + 200ms;
+        simulation.kilotokens[region] += 1;
+        maxElsewhere = std::max({ maxElsewhere, simulation.kilotokens[1], simulation.kilotokens[2] });
     }
     CHECK(refused == 0);
     CHECK(late == 0);
-    CHECK(world.waitOf(mostElsewhere) < longest);
+    CHECK(simulation.waitOf(maxElsewhere) < maxWait);
     CHECK(sent > 3'500);
 }
--- a/unittests/Routing/RegionPressureTest.cpp
+++ b/unittests/Routing/RegionPressureTest.cpp
@@ -7,44 +7,44 @@
 
 TEST_CASE("acceptance falls with refusals, and recovers with accepted requests and with time")
 {
-    RegionPressure pressure;
+    RegionPressure tracker;
     TimePoint now { 10s };
-    CHECK(pressure.readiness("north", now) == 1);
+    CHECK(tracker.readiness("north", now) == 1);
     for (int i = 0; i < 10; ++i)
-        pressure.noteRefused("north", now);
-    double after = pressure.readiness("north", now);
+        tracker.noteRefused("north", now);
+    double after = tracker.readiness("north", now);
     CHECK(after < 0.4);
     CHECK(after > 0);
-    pressure.noteTaken("north", now);
-    CHECK(pressure.readiness("north", now) > after);
-    CHECK(pressure.readiness("north", now + 60s) == 1);
-    CHECK(pressure.readiness("south", now) == 1);
+    tracker.noteTaken("north", now);
+    CHECK(tracker.readiness("north", now) > after);
+    CHECK(tracker.readiness("north", now + 60s) == 1);
+    CHECK(tracker.readiness("south", now) == 1);
 }
 
 // Simulates a region that sustains about half of the requests offered to it.
 TEST_CASE("load beyond a region's capacity is spilled, and few of the remaining requests are refused")
 {
-    RegionPressure pressure;
+    RegionPressure tracker;
     Random random(5);
     std::map<std::string, std::size_t> others { { "south", 3 } };
     int kept = 0;
     int refused = 0;
     for (int second = 0; second < 60; ++second) {
-        int room = 50;
+        int capacity = 50;
         for (int i = 0; i < 100; ++i) {
             TimePoint now { 10s + std::chrono::milliseconds(second * 1'000 + i * 10) };
-            if (shouldSpill(pressure, "north", others, now, random))
+            if (shouldSpill(tracker, "north", others, now, random))
                 continue;
-            bool isTaken = random.unit() < 0.5 * 100 / 100 + (room > 0 ? 0.25 : -0.4);
-            room -= isTaken ? 1 : 0;
+            bool isAccepted = random.unit() < 0.5 * 100 / 100 + (capacity > 0 ? 0.25 : -0.4);
+            capacity -= isAccepted ? 1 : 0;
             if (second < 10)
                 continue;
-            kept += isTaken ? 1 : 0;
-            refused += isTaken ? 0 : 1;
-            if (isTaken)
-                pressure.noteTaken("north", now);
+            kept += isAccepted ? 1 : 0;
+            refused += isAccepted ? 0 : 1;
+            if (isAccepted)
+                tracker.noteTaken("north", now);
             else
-                pressure.noteRefused("north", now);
+                tracker.noteRefused("north", now);
         }
     }
     CHECK(kept > 0);
@@ -53,30 +53,30 @@
 
 TEST_CASE("nothing is spilled if the other regions refuse as much, or there are none")
 {
-    RegionPressure pressure;
+    RegionPressure tracker;
     Random random(5);
     TimePoint now { 10s };
     for (int i = 0; i < 40; ++i) {
-        pressure.noteRefused("north", now);
-        pressure.noteRefused("south", now);
+        tracker.noteRefused("north", now);
+        tracker.noteRefused("south", now);
     }
     for (int i = 0; i < 100; ++i) {
-        CHECK_FALSE(shouldSpill(pressure, "north", { { "south", 3 } }, now, random));
-        CHECK_FALSE(shouldSpill(pressure, "north", {}, now, random));
+        CHECK_FALSE(shouldSpill(tracker, "north", { { "south", 3 } }, now, random));
+        CHECK_FALSE(shouldSpill(tracker, "north", {}, now, random));
     }
-    CHECK_FALSE(chooseSpillRegion(pressure, {}, now, random));
+    CHECK_FALSE(chooseSpillRegion(tracker, {}, now, random));
 }
 
 TEST_CASE("spilled requests are distributed by number of endpoints and acceptance")
 {
-    RegionPressure pressure;
+    RegionPressure tracker;
     Random random(5);
     TimePoint now { 10s };
     for (int i = 0; i < 8; ++i)
-        pressure.noteRefused("south", now);
+        tracker.noteRefused("south", now);
     int south = 0;
     for (int i = 0; i < 1'000; ++i)
-        south += chooseSpillRegion(pressure, { { "south", 4 }, { "west", 4 } }, now, random) == "south" ? 1 : 0;
+        south += chooseSpillRegion(tracker, { { "south", 4 }, { "west", 4 } }, now, random) == "south" ? 1 : 0;
     CHECK(south > 150);
     CHECK(south < 400);
 }
--- a/unittests/Routing/RequestIdentityTest.cpp
+++ b/unittests/Routing/RequestIdentityTest.cpp
@@ -7,11 +7,11 @@
 
 TEST_CASE("a repeated request has the same fingerprint, and different requests have different ones")
 {
-    RequestIdentity asked { "h", "key-1", "POST", "/p/1", "q=1", "body" };
-    CHECK(fingerprintOf(asked) == fingerprintOf({ "h", "key-1", "POST", "/p/1", "q=1", "body" }));
+    RequestIdentity original { "h", "key-1", "POST", "/p/1", "q=1", "body" };
+    CHECK(fingerprintOf(original) == fingerprintOf({ "h", "key-1", "POST", "/p/1", "q=1", "body" }));
     std::set<RequestFingerprint> all;
     const RequestIdentity others[] = {
-        asked,
+        original,
         { "g", "key-1", "POST", "/p/1", "q=1", "body" },
         { "h", "key-2", "POST", "/p/1", "q=1", "body" },
         { "h", "key-1", "PUT", "/p/1", "q=1", "body" },
