--- a/include/catkinwing/Routing/PartHolders.h
+++ b/include/catkinwing/Routing/PartHolders.h
@@ -18,9 +18,10 @@
 public:
     PartHolders();
 
-    /// Records that a prompt with \p segment was sent to \p endpoint, which adds \p kilotokens to its cache.
+    /// Records that a prompt with \p segment was sent to \p endpoint, which adds
+    /// \p kilotokens to its cache.
     void noteSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens);
-    /// Sets the cache size of an endpoint; zero leaves it unchanged.
+    /// Sets the cache size assumed for every endpoint; zero leaves it unchanged.
     void setMemory(std::int64_t tokens);
     /// Removes \p endpoint as a holder of \p segment, because it did not run the
     /// request.
--- a/include/catkinwing/Routing/RegionChoice.h
+++ b/include/catkinwing/Routing/RegionChoice.h
@@ -13,8 +13,8 @@
     std::string region;
     /// Predicted wait for an endpoint in the region; nothing if unknown.
     std::optional<Duration> wait;
-    /// Network delay to the region. It occupies no capacity, so it affects the
-    /// choice of the region but is not compared with the maximum wait.
+    /// Network delay to the region. The delay occupies no capacity, so it affects
+    /// the choice of the region but is not compared with the maximum wait.
     Duration way { 0 };
     /// Predicted duration of the response there, from its first byte.
     Duration responseDuration { 0 };
@@ -30,6 +30,7 @@
     /// Whether local endpoints may accept the request, even if the wait is
     /// unknown.
     bool mayAskHere { false };
+    /// Maximum wait for an endpoint, in any region.
     Duration longestWait { 0 };
 };
 
--- a/include/catkinwing/Routing/RegionPressure.h
+++ b/include/catkinwing/Routing/RegionPressure.h
@@ -22,7 +22,7 @@
 
 private:
     struct Estimate {
-        double readiness { 1 };
+        double acceptance { 1 };
         TimePoint updatedAt {};
     };
 
@@ -31,7 +31,8 @@
 
 /// Returns whether to forward a request to another region without trying
 /// \p home first. The probability is the share of requests that \p home refuses;
-/// it is zero unless another region accepts a larger share.
+/// it is zero if \p home refuses few requests or no other region accepts a larger
+/// share.
 bool shouldSpill(const RegionPressure& tracker, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random);
 
 /// Chooses at random among \p regions, which maps each region to its number of
--- a/lib/Routing/AnswerTimes.cpp
+++ b/lib/Routing/AnswerTimes.cpp
@@ -16,8 +16,8 @@
 /// Weight of the prior estimate, in responses. Endpoints of a service differ by a
 /// third in speed and by more than that in load, which a few responses reveal.
 static constexpr double priorResponses = 6;
-/// Weight of the prior event time, in recorded stream progress. A response has
-/// several such records.
+/// Weight of the prior event time, in recorded event intervals. A response has
+/// several of them.
 static constexpr double priorEvents = 15;
 /// Thousands of tokens at the second point of the prior line; the first point is
 /// at zero.
@@ -121,8 +121,8 @@
 {
     addPoint(sums, 0, prior.secondsAtZero, priorResponses / 2);
     addPoint(sums, priorKilotokens, prior.secondsAtZero + priorKilotokens * prior.secondsPerKilotoken, priorResponses / 2);
-    double spread = sums.weight * sums.sumSquares - sums.sumKilotokens * sums.sumKilotokens;
-    double slope = (sums.weight * sums.sumProducts - sums.sumKilotokens * sums.sumSeconds) / spread;
+    double determinant = sums.weight * sums.sumSquares - sums.sumKilotokens * sums.sumKilotokens;
+    double slope = (sums.weight * sums.sumProducts - sums.sumKilotokens * sums.sumSeconds) / determinant;
     estimate.secondsPerKilotoken = std::clamp(slope, minSecondsPerKilotoken, maxSecondsPerKilotoken);
     double intercept = (sums.sumSeconds - estimate.secondsPerKilotoken * sums.sumKilotokens) / sums.weight;
     estimate.secondsAtZero = std::max(intercept, minFirstByteSeconds);
--- a/lib/Routing/RegionPressure.cpp
+++ b/lib/Routing/RegionPressure.cpp
@@ -23,7 +23,7 @@
     if (found == m_regions.end())
         return 1;
     double seconds = std::chrono::duration<double>(now - found->second.updatedAt).count();
-    return std::min(1.0, found->second.readiness + seconds * recoveryPerSecond);
+    return std::min(1.0, found->second.acceptance + seconds * recoveryPerSecond);
 }
 
 void RegionPressure::noteTaken(const std::string& region, TimePoint now)
