--- a/unittests/Routing/RegionPressureTest.cpp
+++ b/unittests/Routing/RegionPressureTest.cpp
@@ -22,7 +22,7 @@
 }
 
 // Simulates a region that sustains about half of the requests offered to it.
-TEST_CASE("load beyond a region's capacity is spilled, and few of the remaining requests are refused")
+TEST_CASE("load beyond a region's capacity is spilled, which limits the number of refusals")
 {
     RegionPressure tracker;
     Random random(5);
