--- a/lib/Routing/EndpointChoice.cpp
+++ b/lib/Routing/EndpointChoice.cpp
@@ -6,15 +6,17 @@
 
 namespace catkinwing {
 
-/// The owner of a shared part is passed over once its wait is longer than the
-/// mean by this many times the time of reading the part again: that reading also
-/// delays all others there, and pushes other parts out of the memory.
-static constexpr double readingsBorne = 4;
-/// Beyond the longest wait it is waited for by this many times that time.
-static constexpr double readingsBeyond = 2;
-/// Waits that differ by less than this are alike; short parts would otherwise
-/// never be read where they lie.
-static constexpr std::chrono::milliseconds waitBorne { 100 };
+/// An endpoint is not chosen for a shared segment if its wait exceeds the mean wait
+/// by more than this multiple of the segment's prefill time. The multiple is above
+/// 1 because prefilling the segment elsewhere also delays the other requests there
+/// and evicts other segments from the cache.
+static constexpr double maxExcessPrefills = 4;
+/// Multiple of the segment's prefill time by which the wait for its owner may
+/// exceed the maximum wait.
+static constexpr double maxPrefillsBeyondMaxWait = 2;
+/// Excess over the mean wait that is always tolerated. Without it, short segments
+/// would hardly ever be reused where they are cached.
+static constexpr std::chrono::milliseconds toleratedExcessWait { 100 };
 
 namespace {
 
@@ -24,14 +26,14 @@
 
 static Candidates withoutSuspects(absl::Span<const EndpointCandidate> candidates)
 {
-    Candidates sound;
+    Candidates preferred;
     Candidates all;
     for (const EndpointCandidate& candidate : candidates) {
         all.push_back(&candidate);
         if (!candidate.isSuspect)
-            sound.push_back(&candidate);
+            preferred.push_back(&candidate);
     }
-    return sound.empty() ? all : sound;
+    return preferred.empty() ? all : preferred;
 }
 
 static Candidates withoutBusy(Candidates candidates)
@@ -40,8 +42,9 @@
     return candidates;
 }
 
-// Two at random and the less loaded of them: entries that know only their own
-// requests would otherwise all turn to the same endpoint.
+// Picks two candidates at random and returns the less loaded one. Choosing the
+// least loaded of all would send the requests of entries that know only their own
+// load to the same endpoint.
 static const EndpointCandidate& lessLoadedOfTwo(const Candidates& candidates, Random& random)
 {
     std::size_t first = random.below(candidates.size());
@@ -54,8 +57,8 @@
     return isSecondBetter ? *candidates[second] : *candidates[first];
 }
 
-// Among many endpoints one is always idle, so that the shortest wait would say
-// nothing of what a request meets elsewhere.
+// The mean is used rather than the minimum: among many endpoints one is always
+// idle, so the minimum doesn't represent the wait at the others.
 static Duration meanWait(const Candidates& candidates)
 {
     Duration sum { 0 };
@@ -68,25 +71,25 @@
 {
     if (demand.longestWait == Duration::max())
         return demand.longestWait;
-    return demand.longestWait + std::chrono::duration_cast<Duration>(demand.readingAgain * readingsBeyond);
+    return demand.longestWait + std::chrono::duration_cast<Duration>(demand.readingAgain * maxPrefillsBeyondMaxWait);
 }
 
-std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedPart)
+std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedSegment)
 {
-    return stableHash(incarnation, stableHash(sharedPart));
+    return stableHash(incarnation, stableHash(sharedSegment));
 }
 
-// Those of the endpoints that may be asked for a shared part.
+// Returns the candidates whose wait is within the limit for a shared segment.
 static Candidates withoutOverloaded(const EndpointDemand& demand, Candidates candidates)
 {
-    auto borne = std::chrono::duration_cast<Duration>(demand.readingAgain * readingsBorne) + waitBorne;
-    Duration limit = std::min(meanWait(candidates) + borne, longestWaitForOwner(demand));
+    auto maxExcess = std::chrono::duration_cast<Duration>(demand.readingAgain * maxExcessPrefills) + toleratedExcessWait;
+    Duration limit = std::min(meanWait(candidates) + maxExcess, longestWaitForOwner(demand));
     candidates.erase(std::remove_if(candidates.begin(), candidates.end(), [limit](const auto* candidate) { return candidate->wait > limit; }), candidates.end());
     return candidates;
 }
 
-// An owner that has come back, or a new one, doesn't keep what was read
-// elsewhere meanwhile.
+// Holders are preferred to the owner by hash: an owner that was restored or added
+// doesn't cache the segments that were prefilled elsewhere before.
 static const EndpointCandidate* leastBusyHolder(const Candidates& candidates)
 {
     const EndpointCandidate* best = nullptr;
@@ -97,7 +100,8 @@
     return best;
 }
 
-// Rendezvous hashing: when an endpoint goes, only its own shared parts move.
+// Uses rendezvous hashing: when an endpoint is removed, only the segments that it
+// owned move to others.
 static const EndpointCandidate* ownerOf(const EndpointDemand& demand, const Candidates& candidates)
 {
     const EndpointCandidate* best = nullptr;
@@ -116,17 +120,17 @@
 {
     if (candidates.empty())
         return std::nullopt;
-    Candidates sound = withoutSuspects(candidates);
+    Candidates preferred = withoutSuspects(candidates);
     if (!demand.sharedPart.empty()) {
-        Candidates ready = withoutOverloaded(demand, sound);
-        const EndpointCandidate* holder = leastBusyHolder(ready);
-        if (const EndpointCandidate* chosen = holder ? holder : ownerOf(demand, ready))
+        Candidates acceptable = withoutOverloaded(demand, preferred);
+        const EndpointCandidate* holder = leastBusyHolder(acceptable);
+        if (const EndpointCandidate* chosen = holder ? holder : ownerOf(demand, acceptable))
             return chosen->index;
     }
-    Candidates free = withoutBusy(std::move(sound));
-    if (free.empty())
+    Candidates available = withoutBusy(std::move(preferred));
+    if (available.empty())
         return std::nullopt;
-    return lessLoadedOfTwo(free, random).index;
+    return lessLoadedOfTwo(available, random).index;
 }
 
 } // namespace catkinwing
