--- a/include/catkinwing/Ingress/CrashExchange.h
+++ b/include/catkinwing/Ingress/CrashExchange.h
@@ -9,25 +9,26 @@
 
 namespace catkinwing {
 
-/// How the entries of all regions learn of requests that crash endpoints. Each
-/// crash is told to the few entries that count it for its request; once there is
-/// more than one, each entry that knows tells some others, until all know. Costs
-/// nothing while no endpoint crashes, and an entry no more however many there are.
+/// Distributes crash notices, which name requests that crash endpoints, among the
+/// entries of all regions. Each crash is sent to the few entries that count the crashes
+/// of its request. Once a request has more than one crash, the entries gossip its
+/// notice until all of them have it. Sends nothing while no endpoint crashes; the cost
+/// of one entry doesn't grow with the number of entries.
 class CrashExchange {
 public:
-    /// All references must outlive the exchange; \p self is this entry's record.
+    /// All references must outlive the exchange; \p self is the record of this entry.
     CrashExchange(CrashingRequests& requests, const EntryTable& entries, EntryRecord self, Random& random);
 
-    /// Returns what is to be sent now; to be called ten times a second.
+    /// Returns the datagrams to send now. Must be called ten times a second.
     std::vector<OutgoingDatagram> tick(TimePoint now);
-    /// Returns what is to be sent at once of connections that just broke, and of answers
-    /// that refute them.
+    /// Returns the datagrams to send without waiting for the next tick: connections that
+    /// have just broken, and answers which show that the request didn't crash the endpoint.
     std::vector<OutgoingDatagram> tellUrgent(TimePoint now);
-    /// Takes a report if it comes from an entry.
+    /// Records the notices of \p report. Ignores it if \p from isn't a registered entry.
     void take(const SocketAddress& from, const CrashReport& report, TimePoint now);
 
 private:
-    /// A crash that is still to be told to those who count it.
+    /// A settled crash that still has to be sent to the entries that count it.
     struct Settled {
         CrashNotice notice;
         TimePoint at {};
@@ -48,7 +49,7 @@
     EntryRecord m_self;
     Random& m_random;
     std::vector<EntryTable::Neighbor> m_others;
-    /// What the table of entries had seen when the others were listed.
+    /// Change counter of the entry table as of the last update of the list of other entries.
     std::optional<std::uint64_t> m_seenChanges;
     std::uint64_t m_ticks { 0 };
     std::vector<Settled> m_settled;
--- a/include/catkinwing/Ingress/LoadExchange.h
+++ b/include/catkinwing/Ingress/LoadExchange.h
@@ -10,25 +10,26 @@
 
 namespace catkinwing {
 
-/// How the entries of a region learn each other's loads. A few tell each other.
-/// Where they are many each reports to the collectors of its group alone, which
-/// add up the reports, exchange the sums with the other groups' collectors, and
-/// tell their group the sum of the region; so the datagrams of an entry don't
-/// grow with their number, and those of a collector only with its group.
+/// Distributes the loads of the entries of a region among them. In a small region each
+/// entry sends its load report to all others. In a larger region the entries are divided
+/// into groups, and each entry reports only to the collectors of its group. A collector
+/// adds up the reports of its group, exchanges group digests with the collectors of the
+/// other groups and sends the region digest to the members of its group. The datagrams
+/// of an entry therefore don't grow with the number of entries.
 class LoadExchange {
 public:
-    /// All references must outlive the exchange; \p self is this entry's record.
+    /// All references must outlive the exchange; \p self is the record of this entry.
     LoadExchange(EndpointTable& endpoints, const EntryTable& entries, EntryRecord self);
 
-    /// Returns what is to be sent now; to be called several times a second. \p key
-    /// is this entry's.
+    /// Returns the datagrams to send now. Must be called ten times a second. \p key is
+    /// the registration key of this entry.
     std::vector<OutgoingDatagram> tick(const std::string& key, TimePoint now);
     void takeReport(LoadReport report, TimePoint now);
     void takeDigest(LoadDigest digest, TimePoint now);
     std::uint64_t sequence() const { return m_sequence; }
 
 private:
-    /// Groups of the region by their entries' addresses.
+    /// One group of entries of the region, given by the addresses of its entries.
     struct Group {
         std::string name;
         std::vector<SocketAddress> members;
@@ -39,13 +40,15 @@
         TimePoint at {};
     };
 
-    /// Follows the table of entries.
+    /// Rebuilds the groups if the entry table has changed.
     void followEntries();
     void divide();
     void reportToAll(const LoadReport& report, std::vector<OutgoingDatagram>& out) const;
     void collect(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out);
     LoadDigest digestOfGroup(const std::string& name, bool tellsParts);
     LoadDigest digestOfRegion(const LoadDigest& group, bool tellsParts, TimePoint now);
+    /// Records the sequence of \p digest. Returns true if an equal or later sequence of
+    /// the same collector and group has been received before.
     bool isOvertaken(const LoadDigest& digest);
     void takeRegion(const LoadDigest& digest, TimePoint now);
 
@@ -53,19 +56,19 @@
     const EntryTable& m_entries;
     EntryRecord m_self;
     std::uint64_t m_sequence { 0 };
-    /// What the table of entries had seen when the groups were made.
+    /// Change counter of the entry table as of the last rebuild of the groups.
     std::optional<std::uint64_t> m_seenChanges;
     bool m_isDirect { true };
-    /// Groups of the region; none where all entries tell each other.
+    /// Groups of the region; empty if each entry reports to all others directly.
     std::vector<Group> m_groups;
     bool m_wasIdle { false };
     bool m_wasRegionIdle { false };
-    /// What this entry reported last; a digest holds it too.
+    /// Last load report of this entry; region digests include it.
     LoadReport m_lastOwn;
-    /// Reports of the members of this entry's group, its own included.
+    /// Load reports of the members of this entry's group, its own included.
     PeerLoads m_collected;
     std::vector<PartSent> m_partsCollected;
-    /// Last digests of other groups, by their names.
+    /// Last digests of the other groups, by group name.
     std::map<std::string, Heard> m_groupDigests;
     std::vector<PartSent> m_partsOfGroups;
     absl::flat_hash_map<std::string, std::uint64_t> m_digestSequences;
--- a/include/catkinwing/Ingress/OutgoingDatagram.h
+++ b/include/catkinwing/Ingress/OutgoingDatagram.h
@@ -5,7 +5,7 @@
 
 namespace catkinwing {
 
-/// Bytes for another entry.
+/// A datagram to send to another entry.
 struct OutgoingDatagram {
     SocketAddress to;
     std::string bytes;
--- a/include/catkinwing/Ingress/PeerLoads.h
+++ b/include/catkinwing/Ingress/PeerLoads.h
@@ -7,19 +7,20 @@
 
 namespace catkinwing {
 
-/// What the other entries of the region have under way at the endpoints, as
-/// they last reported it. Stale reports count for nothing.
+/// Loads that entries cause at the endpoints, as of their last load reports. Keeps the
+/// sum over these entries for each endpoint.
 class PeerLoads {
 public:
-    /// Takes a report; one that was overtaken by a later one is dropped.
+    /// Replaces the last report of the same entry. Ignores a report that arrives after a
+    /// later one of the same entry.
     void take(LoadReport report, TimePoint now);
-    /// Forgets reports older than the time for which they count.
+    /// Removes reports that are older than their lifetime.
     void expire(TimePoint now);
-    /// Returns the sum over all other entries for one endpoint.
+    /// Returns the sum over all entries for one endpoint, by the hash of its incarnation.
     EndpointWorkload at(std::uint32_t endpoint) const;
-    /// Returns a sequence that follows the last report of \p entry.
+    /// Returns the sequence that follows that of the last report of \p entry.
     std::uint64_t nextSequence(const std::string& entry) const;
-    /// Returns the sums for all endpoints that have any.
+    /// Returns the sums of all endpoints that occur in a report.
     std::vector<EndpointWorkload> all() const;
     std::size_t entries() const { return m_reports.size(); }
 
--- a/include/catkinwing/Ingress/RegionOutlooks.h
+++ b/include/catkinwing/Ingress/RegionOutlooks.h
@@ -8,29 +8,30 @@
 
 namespace catkinwing {
 
-/// What the other regions say of their endpoints, and what this entry has sent
-/// there since.
+/// Expected waiting times in the other regions, computed from their last region reports
+/// and from the prompt tokens that this entry has sent there since.
 class RegionOutlooks {
 public:
-    /// Takes a report; one that the same entry's later report has overtaken is
-    /// left out.
+    /// Records the outlooks of \p report. Ignores a report that arrives after a later one
+    /// of the same entry.
     void take(const RegionReport& report, TimePoint now);
-    /// Counts a request of \p tokens that goes to \p region.
+    /// Counts a request with \p tokens prompt tokens that is forwarded to \p region.
     void noteSent(const std::string& region, absl::string_view service, std::int64_t tokens, TimePoint now);
-    /// Returns how long a request would wait in \p region; nothing if no report
-    /// is fresh enough to be believed.
+    /// Returns how long a request is expected to wait in \p region, or std::nullopt if
+    /// there is no recent report.
     std::optional<Duration> waitIn(const std::string& region, absl::string_view service, TimePoint now) const;
-    /// Returns the time between two events of a stream in \p region as last
-    /// heard; zero if unknown.
+    /// Returns the time between two events of a stream in \p region as last reported;
+    /// zero if unknown.
     Duration timePerEventIn(const std::string& region, absl::string_view service) const;
-    /// Returns how old the newest report of \p region is; nothing without one.
+    /// Returns the age of the newest report of \p region, or std::nullopt without a report.
     std::optional<Duration> age(const std::string& region, TimePoint now) const;
 
 private:
     struct Heard {
         ServiceOutlook outlook;
         TimePoint at {};
-        /// Thousands of tokens sent there and not yet in the report, as of sentAt.
+        /// Thousands of prompt tokens sent to the region that its reports don't include
+        /// yet, as of sentAt.
         double sentKilotokens { 0 };
         TimePoint sentAt {};
     };
--- a/lib/Ingress/CrashExchange.cpp
+++ b/lib/Ingress/CrashExchange.cpp
@@ -8,25 +8,27 @@
 
 using std::chrono::milliseconds;
 
-/// Entries that count the crashes under a request: so many of all entries, by
-/// which crashes in different regions come together, and so many of the region,
-/// which go on where it is cut off. One of each may be lost.
+/// Number of entries that count the crashes of a request: two of all entries, which
+/// add up crashes in different regions, and two of the own region, which keep counting
+/// while the region is partitioned from the others. Two of each tolerate the loss of one.
 static constexpr std::size_t countersOfAll = 2;
 static constexpr std::size_t countersOfRegion = 2;
-/// A crash is told to them this often, since datagrams are lost.
+/// A settled crash is sent to these entries this many times, since datagrams can be lost.
 static constexpr unsigned tellCrashTimes = 3;
-/// Crashes waiting to be told, those of all requests at a few endpoints.
+/// Max number of settled crashes that wait to be sent; covers the requests that run at
+/// a few endpoints.
 static constexpr std::size_t mostSettled = 2'048;
-/// News goes to so many others a time; in five times each of 550 entries has it
-/// with near certainty.
+/// Number of random entries that a changed notice is sent to in one tick. After five
+/// ticks each of 550 entries has received it with near certainty.
 static constexpr std::size_t toldNews = 4;
-/// Entries told at once of a broken connection: all where they are few. Elsewhere
-/// the same request comes to each of them more seldom.
+/// Max number of entries that are notified of a broken connection without delay. This
+/// covers all entries of a small deployment. With more entries, the same request arrives
+/// less often at each of them.
 static constexpr std::size_t toldUrgent = 24;
-/// All that is suspected goes to one other each so many ticks, for entries that
-/// start later or were cut off.
+/// Interval in ticks at which every suspected request is sent to one random entry, for
+/// entries that started later or were unreachable.
 static constexpr std::uint64_t tellAllEvery = 5;
-/// Datagrams to one entry a time.
+/// Max number of datagrams to one entry in one call.
 static constexpr std::size_t mostDatagrams = 4;
 
 CrashExchange::CrashExchange(CrashingRequests& requests, const EntryTable& entries, EntryRecord self, Random& random)
@@ -50,7 +52,8 @@
     return notice.regions.empty() || std::count(notice.regions.begin(), notice.regions.end(), regionHash(neighbor.region)) > 0;
 }
 
-// By rendezvous, so that entries that know the same others choose the same.
+// Uses rendezvous hashing, so that entries with the same entry table choose the same
+// entries.
 std::vector<SocketAddress> CrashExchange::countersOf(const CrashNotice& notice) const
 {
     std::uint64_t seed = stableHash(notice.request);
--- a/lib/Ingress/LoadExchange.cpp
+++ b/lib/Ingress/LoadExchange.cpp
@@ -5,22 +5,25 @@
 
 namespace catkinwing {
 
-/// Up to this many entries of a region tell each other: some sixty datagrams a
-/// second each way, and loads known a step sooner.
+/// Max number of entries of a region that report to each other directly. This costs an
+/// entry about 60 datagrams a second in each direction, and loads arrive without the
+/// additional delay of a collector.
 static constexpr std::size_t mostDirect = 12;
-/// They do so each second time, since nothing adds to the age of their reports.
+/// Direct reports are sent at every second tick only, since no collector adds to their
+/// age.
 static constexpr std::uint64_t directEvery = 2;
-/// Digests of other groups count for this long, as reports do.
+/// Digests of other groups expire after the same time as load reports.
 static constexpr std::chrono::milliseconds digestLifetime { 1'000 };
-/// Collectors whose sequence is remembered.
+/// Max number of pairs of collector and group whose last sequence is kept.
 static constexpr std::size_t maxCollectorsKept = 256;
-/// Endpoints in one digest, the busiest ones, so that it fits a datagram; the
-/// others have little to do.
+/// Max number of endpoints in one digest, so that it fits into a datagram. A digest
+/// keeps the busiest endpoints; the others have little load.
 static constexpr std::size_t mostLoads = 2'000;
-/// Parts told in one digest; beyond it they are learnt by reading them once more.
+/// Max number of prompt segments in one digest. Entries that miss a segment only cause
+/// one more prefill of it.
 static constexpr std::size_t mostParts = 256;
-/// Under this name the loads of the region stand among the reports of entries,
-/// whose keys are never empty.
+/// Group name of region digests. It also serves as the key of the region's loads among
+/// the load reports; the keys of entries are never empty.
 static constexpr const char* regionName = "";
 
 LoadExchange::LoadExchange(EndpointTable& endpoints, const EntryTable& entries, EntryRecord self)
@@ -30,7 +33,8 @@
 {
 }
 
-// Both ways at once would count the same reports twice.
+// Discards all received loads when the region switches between direct reports and
+// groups, since the same load would otherwise be counted by both.
 void LoadExchange::followEntries()
 {
     if (m_seenChanges == m_entries.changes())
@@ -69,7 +73,7 @@
     return std::find(addresses.begin(), addresses.end(), address) != addresses.end();
 }
 
-// An entry that has nothing under way says so once and then keeps silent.
+// An idle entry sends one empty report and then none until it has requests again.
 std::vector<OutgoingDatagram> LoadExchange::tick(const std::string& key, TimePoint now)
 {
     m_endpoints.peerLoads().expire(now);
@@ -111,8 +115,9 @@
         out.push_back({ peer, bytes });
 }
 
-// Each collector tells all of another group, so that none hangs on one of them;
-// the first one alone tells parts, which would else count twice.
+// Each collector sends its digests to all collectors of the other groups and to all
+// members of its own, so that one collector of a group may fail. Only the first
+// collector of a group includes prompt segments, which would otherwise count twice.
 void LoadExchange::collect(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out)
 {
     m_collected.take(m_lastOwn, now);
@@ -224,7 +229,8 @@
     takeRegion(digest, now);
 }
 
-// What this entry has under way itself is known better than by the digest.
+// Subtracts this entry's last report from the digest, since the endpoint table has the
+// current load of this entry itself.
 void LoadExchange::takeRegion(const LoadDigest& digest, TimePoint now)
 {
     LoadReport others { regionName, m_endpoints.peerLoads().nextSequence(regionName), {}, {} };
--- a/lib/Ingress/PeerLoads.cpp
+++ b/lib/Ingress/PeerLoads.cpp
@@ -5,11 +5,11 @@
 
 namespace catkinwing {
 
-/// Reports come five times a second; one older than this has been followed by
-/// others that were lost, or its entry is gone.
+/// Entries with load report at least five times a second. If a report is older than
+/// this, the following ones were lost or its entry has terminated.
 static constexpr std::chrono::milliseconds reportLifetime { 1'000 };
 
-// Unsigned sums wrap, so taking away is adding the negative.
+// Subtracts by adding the negated value; unsigned arithmetic wraps around.
 void PeerLoads::add(const LoadReport& report, bool isAdded)
 {
     for (const EndpointWorkload& load : report.loads) {
--- a/lib/Ingress/RegionOutlooks.cpp
+++ b/lib/Ingress/RegionOutlooks.cpp
@@ -6,14 +6,14 @@
 
 namespace catkinwing {
 
-/// Reports come several times a second; after this nothing is known any more.
+/// Regions report several times a second. Waiting times of an older report are not used.
 static constexpr std::chrono::milliseconds reportLifetime { 1'500 };
-/// What was sent to a region shows in its reports after a way there, an interval
-/// of reports and the way back; on the mean this much later.
+/// Mean time until the reports of a region include a request that was sent there: the
+/// round trip between the regions and one report interval.
 static constexpr std::chrono::milliseconds unreportedTime { 300 };
-/// Longer than any request may wait.
+/// Wait in a region without endpoints; longer than any request may wait.
 static constexpr std::chrono::hours noEndpointWait { 1 };
-/// Entries of a region whose sequence is remembered.
+/// Max number of entries of a region whose last sequence is kept.
 static constexpr std::size_t maxEntriesKept = 256;
 
 void RegionOutlooks::take(const RegionReport& report, TimePoint now)
--- a/unittests/Ingress/CrashExchangeTest.cpp
+++ b/unittests/Ingress/CrashExchangeTest.cpp
@@ -8,7 +8,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-/// What control may cost an entry in a second.
+/// Max bytes of crash reports that an entry may send in a second.
 static constexpr std::size_t bytesPerSecond = 3'000;
 
 namespace {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Lets each entry speak; what it sends arrives at the next round.
+    /// Delivers the datagrams of the last round and runs one tick of each entry.
     void round()
     {
         now += 100ms;
@@ -78,7 +78,7 @@
         fingerprint.bytes[0] = 1;
         return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), [&](const auto& entry) { return entry->requests.refusedFor(fingerprint, now).has_value(); }));
     }
-    /// Returns the most bytes that an entry has sent since the last call.
+    /// Returns the max number of bytes that one entry has sent since the last call.
     std::size_t mostBytes()
     {
         std::size_t most = 0;
@@ -96,8 +96,8 @@
 
 } // namespace
 
-// Guards against costs that grow with the number of entries.
-TEST_CASE("crashes that three entries saw are known to all soon, at no more bytes for each where they are many")
+// Guards against traffic of one entry that grows with the number of entries.
+TEST_CASE("crashes recorded by three entries reach all entries in time, and the bytes that an entry sends don't grow with their number")
 {
     for (std::size_t count : { 7, 30, 295, 550 }) {
         TellingWorld world(count, 3);
@@ -105,7 +105,8 @@
             world.crash(i * count / crashesBeforeRefusal, 1, 100 + i);
             world.rounds(4);
         }
-        // The last crash is settled after half a second and told within one more.
+        // The last crash is settled after half a second; its notice reaches all entries
+        // within another second.
         world.rounds(12);
         INFO(count << " entries");
         CHECK(world.knowing() == count);
@@ -115,8 +116,9 @@
     }
 }
 
-// Guards against a crash by chance that costs as much as the requests it broke.
-TEST_CASE("the crash of an endpoint with many requests is told to few, and no request is refused for it")
+// Guards against notices to all entries for each request that ran at an endpoint which
+// crashed once.
+TEST_CASE("a single crash of an endpoint with many requests is sent to few entries only, and no request is refused for it")
 {
     TellingWorld world(295, 3);
     for (unsigned char i = 0; i < 64; ++i)
--- a/unittests/Ingress/CrashingRequestTest.cpp
+++ b/unittests/Ingress/CrashingRequestTest.cpp
@@ -1,4 +1,5 @@
-// A request that crashes the endpoints which run it, among others that don't.
+// Tests of entries that receive a request which crashes the endpoints that run it, among
+// requests that don't.
 #include "EntryFleet.h"
 
 #include <algorithm>
@@ -7,15 +8,16 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-/// Entries that are in touch know within this time that three endpoints have
-/// crashed under a request, and so send it no more often than this later.
+/// Entries that can reach each other know within this time that three endpoints have
+/// crashed while they ran a request. The request then has at most mostSentLater further
+/// attempts.
 static constexpr Duration knownWithin = 5s;
 static constexpr std::size_t mostSentLater = 3;
 
 namespace {
 
-/// Lets clients send for a while: other requests each 30 ms, and the deadly one
-/// each 0.1 s to 0.7 s, at any entry.
+/// Sends requests to random entries for \p span: another request every 30 ms and the
+/// request that crashes endpoints every 0.1 s to 0.7 s.
 void runWithDeadly(EntryFleet& fleet, Duration span)
 {
     TimePoint end = fleet.now() + span;
@@ -47,9 +49,9 @@
 
 } // namespace
 
-// Guards against a request that crashes one endpoint after another because it
-// comes at another entry each time.
-TEST_CASE("a request under which three endpoints crashed is no longer sent, at whichever entry it comes")
+// Guards against a request that crashes one endpoint after another because each client
+// sends it to a different entry.
+TEST_CASE("a request that crashed three endpoints is no longer sent to endpoints by any entry")
 {
     for (unsigned seed = 1; seed <= 8; ++seed) {
         EntryFleet fleet(seed);
@@ -61,9 +63,9 @@
     }
 }
 
-// Guards against sending a request that many clients ask to one endpoint after another
-// before the first crash under it is settled.
-TEST_CASE("a request that crashes endpoints and comes ten times a second crashes no more than four")
+// Guards against sending a request that many clients send to one endpoint after another
+// before its first crash is settled.
+TEST_CASE("a request that crashes endpoints and arrives ten times a second crashes at most four endpoints")
 {
     for (unsigned seed = 1; seed <= 8; ++seed) {
         EntryFleet fleet(seed);
@@ -80,8 +82,8 @@
     }
 }
 
-// Guards against a refusal that only those learn of that hear every report.
-TEST_CASE("a request that crashes endpoints is refused by entries that lose reports, start later or lose those who count")
+// Guards against a refusal that reaches only entries which receive every crash report.
+TEST_CASE("a request that crashes endpoints is refused by entries that lose reports, start later or lose an entry that counts crashes")
 {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         EntryFleet fleet(seed, 6, 9);
@@ -106,8 +108,8 @@
     }
 }
 
-// Guards against counting that needs a region which is cut off.
-TEST_CASE("each of two regions that are cut off from each other refuses a request that crashes its endpoints")
+// Guards against crash counting that depends on entries of an unreachable region.
+TEST_CASE("each of two partitioned regions refuses a request that crashes its endpoints")
 {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         EntryFleet fleet(seed);
@@ -120,7 +122,8 @@
     }
 }
 
-// Guards against a refusal of what merely ran beside the request that crashes endpoints.
+// Guards against a refusal of requests that merely ran at the same endpoint as the request
+// which crashes endpoints.
 TEST_CASE("other requests are served while one that crashes endpoints is refused")
 {
     for (unsigned seed = 1; seed <= 6; ++seed) {
@@ -138,8 +141,9 @@
     }
 }
 
-// Guards against blaming a request because it is always there when an endpoint crashes.
-TEST_CASE("a request that half of the clients send is served like the others while endpoints crash by chance")
+// Guards against a refusal of a frequent request, which is running at most endpoints when
+// they crash.
+TEST_CASE("a request that is half of the traffic isn't refused while endpoints crash at random")
 {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         EntryFleet fleet(seed);
@@ -156,8 +160,9 @@
     }
 }
 
-// Guards against blaming what was under way when all endpoints lost their power.
-TEST_CASE("a request that was at several endpoints when all crashed at once is served afterwards")
+// Guards against a refusal of requests that were running when all endpoints failed at once,
+// for example by a power failure.
+TEST_CASE("a request that ran at several endpoints when all crashed at once is served afterwards")
 {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         EntryFleet fleet(seed);
@@ -178,8 +183,8 @@
     }
 }
 
-// Guards against traces of a request outside the regions to which it is bound.
-TEST_CASE("entries outside the regions of a bound request learn nothing of its crashes")
+// Guards against records of a request outside the regions that its residency allows.
+TEST_CASE("entries outside the allowed regions of a request receive no notices of its crashes")
 {
     EntryFleet fleet(1, 3, 8, { "north" });
     for (int i = 0; i < 40; ++i) {
@@ -194,8 +199,9 @@
         CHECK(fleet.partsOf(entry).crashing.isEmpty());
 }
 
-// Guards against traces of what was forwarded to the regions that may have it.
-TEST_CASE("an entry outside the regions of a bound request remembers nothing of its answers")
+// Guards against records of a request at an entry that only forwarded it to an allowed
+// region.
+TEST_CASE("an entry outside the allowed regions of a request doesn't record its answers")
 {
     EntryFleet fleet(1, 3, 8, { "north" });
     fleet.send(4, "bound");
@@ -208,14 +214,14 @@
     CHECK(atNorth == 1);
 }
 
-// Guards against a refusal without an end, and against many trials at its end.
-TEST_CASE("a refused request is tried again once minutes later, and refused for longer if it still crashes endpoints")
+// Guards against a refusal that never expires, and against many attempts when it expires.
+TEST_CASE("a refused request has one more attempt minutes later, and is refused for longer if it still crashes endpoints")
 {
     EntryFleet fleet(3);
     runWithDeadly(fleet, 8s);
     std::size_t crashes = fleet.crashes.size();
     REQUIRE(crashes >= 3);
-    // Past the end of the refusal at each entry.
+    // Long enough for the refusal to expire at each entry.
     for (int i = 0; i < 8 * 60 * 2; ++i) {
         fleet.sendToAny(deadlyBody);
         fleet.advance(500ms);
@@ -224,8 +230,8 @@
     CHECK(fleet.crashes.size() <= crashes + 4);
 }
 
-// Guards against a refusal of a request after its endpoints were repaired.
-TEST_CASE("a refused request that an endpoint answers is served by every entry from then on")
+// Guards against a refusal that persists after the fault of the endpoints was repaired.
+TEST_CASE("a refused request is served by every entry once an endpoint has answered it")
 {
     EntryFleet fleet(4);
     runWithDeadly(fleet, 8s);
@@ -242,8 +248,8 @@
     CHECK(fleet.servedShare(deadlyBody, late) == 1);
 }
 
-// Guards against reports that cost more the longer a request is refused.
-TEST_CASE("an entry tells little of requests that crash endpoints, and nothing without one")
+// Guards against crash reports that grow while a request is refused.
+TEST_CASE("crash reports of an entry are small, and none is sent unless a request crashes endpoints")
 {
     EntryFleet quiet(1);
     for (int i = 0; i < 200; ++i) {
--- a/unittests/Ingress/EntryFleet.cpp
+++ b/unittests/Ingress/EntryFleet.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/// An endpoint that crashed is out of the store this much later.
+/// Time from the crash of an endpoint to the removal of its registration.
 static constexpr milliseconds registrationLapse { 1'500 };
 static constexpr milliseconds entryLease { 4'000 };
 static constexpr milliseconds refusedConnection { 2 };
@@ -19,7 +19,7 @@
 static constexpr milliseconds betweenRegions { 55 };
 static const std::string regions[] = { "north", "south" };
 
-/// The path of one entry to the endpoints.
+/// The HTTP client of one entry for requests to endpoints.
 class EntryFleet::Client final : public HttpClient {
 public:
     Client(EntryFleet& fleet, std::size_t entry)
@@ -49,7 +49,7 @@
     static void end(const Exchange& exchange, const HttpClientCallbacks& callbacks, HttpEnd how)
     {
         if (!exchange.isCancelled)
-            callbacks.onEnd({ how, exchange.mayHaveReached, "fault of the fake" });
+            callbacks.onEnd({ how, exchange.mayHaveReached, "simulated fault" });
     }
 
     void arrive(CrashingEndpoint& endpoint, const HttpClientRequest& request, const HttpClientCallbacks& callbacks, const std::shared_ptr<Exchange>& exchange)
@@ -92,7 +92,7 @@
     std::size_t m_entry;
 };
 
-/// Takes an entry's answer to a forwarded request back to the entry that sent it.
+/// Sends an entry's answer to a forwarded request back to the entry that forwarded it.
 class EntryFleet::PeerResponder final : public HttpResponder {
 public:
     PeerResponder(Scheduler& scheduler, HttpClientCallbacks callbacks)
@@ -124,7 +124,7 @@
     void onWritable(std::function<void()>) override { }
     void onClosed(std::function<void()> callback) override { m_closed = std::move(callback); }
 
-    /// The process that was to answer ends.
+    /// Closes the connection as if the answering process had terminated.
     void breakOff()
     {
         std::function<void()> closed = std::move(m_closed);
@@ -157,7 +157,7 @@
     bool m_hasEnded { false };
 };
 
-/// The path of one entry to the entries of the other region.
+/// The HTTP client of one entry for requests to other entries.
 class EntryFleet::PeerClient final : public HttpClient {
 public:
     PeerClient(EntryFleet& fleet, std::size_t entry)
@@ -174,7 +174,7 @@
             auto exchange = std::make_shared<Client::Exchange>();
             m_fleet.scheduler.callAfter(refusedConnection, [exchange, callbacks] {
                 if (!exchange->isCancelled)
-                    callbacks.onEnd({ HttpEnd::ConnectFailed, false, "fault of the fake" });
+                    callbacks.onEnd({ HttpEnd::ConnectFailed, false, "simulated fault" });
             });
             return exchange;
         }
@@ -212,7 +212,7 @@
     IngressParts parts;
     CrashExchange exchange;
     bool isUp { true };
-    /// What was forwarded here.
+    /// Requests that other entries have forwarded to this one.
     std::vector<std::weak_ptr<PeerResponder>> forwards;
 };
 
@@ -273,7 +273,7 @@
         parts.entries.put(entryKey(i), m_records[i]);
 }
 
-// Lets the requests that are under way reach their deadlines.
+// Advances the time so that the running requests reach their deadlines.
 EntryFleet::~EntryFleet()
 {
     scheduler.advance(routeTimeout + step);
@@ -359,7 +359,7 @@
             continue;
         scheduler.callAfter(isCross ? betweenRegions : insideRegion, [this, from, to, bytes = datagram.bytes] {
             absl::StatusOr<CrashReport> report = decodeCrashReport(bytes);
-            assert(report.ok() && "what is encoded can be decoded");
+            assert(report.ok() && "an encoded crash report can be decoded");
             m_entries[to]->exchange.take(m_records[from].peers, *report, now());
         });
     }
@@ -395,7 +395,7 @@
 
 void EntryFleet::restartEntry(std::size_t entry)
 {
-    assert(m_entries[entry]->parts.openRequests == 0 && "the entry has no requests");
+    assert(m_entries[entry]->parts.openRequests == 0 && "only an entry without open requests can be restarted");
     m_ended.push_back(std::move(m_entries[entry]));
     makeEntry(entry);
     for (const auto& other : m_entries) {
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -1,4 +1,5 @@
-// Entries of two regions beside endpoints that crash or refuse, without a network.
+// Simulation of entries and endpoints of two regions without a network. Endpoints can crash
+// or refuse requests.
 #pragma once
 
 #include "Gateway/FakeResponder.h"
@@ -10,20 +11,20 @@
 
 namespace catkinwing {
 
-/// A body under which every endpoint crashes that begins to run it.
+/// Body of a request that crashes each endpoint which runs it.
 constexpr const char* deadlyBody = "deadly";
 
-/// One start of a stand-in endpoint.
+/// One incarnation of a simulated endpoint.
 struct CrashingEndpoint {
     std::string incarnation;
     std::string region;
     SocketAddress address;
     bool isUp { true };
-    /// Ends the requests that are under way there when it crashes.
+    /// Callbacks that end the running requests when the endpoint crashes, by request number.
     std::map<std::uint64_t, std::function<void()>> breakOff;
 };
 
-/// A client's request that has been given to an entry.
+/// A client request that was sent to an entry.
 struct SentRequest {
     std::string id;
     std::string body;
@@ -32,7 +33,7 @@
     std::shared_ptr<FakeResponder> answer;
 };
 
-/// Arrival of a request at an endpoint.
+/// One attempt of a request at an endpoint.
 struct Arrival {
     std::string request;
     std::string body;
@@ -42,59 +43,60 @@
 
 class EntryFleet {
 public:
-    /// As many entries and endpoints in each region as told.
+    /// \p homeRegions are the regions that the route allows; all if empty.
     explicit EntryFleet(unsigned seed, std::size_t entriesPerRegion = 3, std::size_t endpointsPerRegion = 6, std::vector<std::string> homeRegions = {});
     ~EntryFleet();
 
-    /// Gives a request to an entry.
+    /// Sends a client request to an entry.
     void send(std::size_t entry, const std::string& body, const std::string& host = "h");
     void sendToAny(const std::string& body) { send(random.below(m_entries.size()), body); }
-    /// Sets how often a request may be run.
+    /// Sets the max number of attempts of a request.
     void setAttempts(unsigned attempts);
-    /// Moves time forward; endpoints that crashed start again after a while.
+    /// Advances the simulated time by \p span in small steps.
     void advance(Duration span);
-    /// Crashes an endpoint that is up; nothing if there is none in \p region.
+    /// Crashes one running endpoint of \p region; does nothing if there is none.
     void crashOne(const std::string& region);
     /// Crashes all endpoints of all regions at once.
     void crashAll();
-    /// Gives an entry's place to a new process that knows nothing.
+    /// Replaces an entry by a new process that has its address and none of its state.
     void restartEntry(std::size_t entry);
-    /// Ends an entry's process with all that is under way there; its registration
-    /// lapses later.
+    /// Terminates an entry and all its running requests. Its registration expires later.
     void killEntry(std::size_t entry);
     bool isUp(std::size_t entry) const;
-    /// Takes an entry's registration from all others.
+    /// Removes the registration of an entry at all entries.
     void removeRegistration(std::size_t entry);
-    /// Cuts off what entries of different regions tell each other, or heals it.
+    /// Starts or ends a network partition between the regions.
     void cutRegions(bool isCut) { m_areRegionsCut = isCut; }
-    /// Nothing that is told reaches the entry or leaves it.
+    /// Drops all datagrams to and from the entry.
     void silence(std::size_t entry) { m_silenced.insert(entry); }
-    /// Part of what arrives that endpoints refuse to run.
+    /// Fraction of the attempts that endpoints refuse.
     double refused { 0 };
-    /// Part of what entries tell each other that is lost.
+    /// Fraction of the datagrams between entries that are lost.
     double lost { 0 };
-    /// Bytes of reports of crashes that each entry has sent.
+    /// Bytes of crash reports that each entry has sent.
     std::vector<std::size_t> bytesTold;
 
     std::size_t entries() const { return m_entries.size(); }
     IngressParts& partsOf(std::size_t entry);
-    /// Returns arrivals of \p body at endpoints later than \p time.
+    /// Returns the number of attempts with \p body at endpoints after \p time.
     std::size_t arrivalsAfter(const std::string& body, TimePoint time) const;
-    /// Share of the requests with \p body, sent from \p from on, that were answered with success.
+    /// Returns the fraction of the requests with \p body sent at or after \p from that were
+    /// answered with status 200; zero if there are none.
     double servedShare(const std::string& body, TimePoint from = {}) const;
     TimePoint now() const { return scheduler.clock().now(); }
 
     ManualScheduler scheduler;
     Random random;
-    /// When each endpoint crashed under the deadly body.
+    /// Times at which endpoints crashed because of deadlyBody.
     std::vector<TimePoint> crashes;
     std::vector<Arrival> arrivals;
     std::vector<SentRequest> sent;
-    /// How long an endpoint runs a request, and how long the deadly one before it crashes.
+    /// Time that an endpoint takes to answer a request, time from the start of a request with
+    /// deadlyBody to the crash, and time from a crash to the restart.
     Duration runsFor { std::chrono::milliseconds(60) };
     Duration crashesAfter { std::chrono::milliseconds(250) };
     Duration startsAgainAfter { std::chrono::milliseconds(3'000) };
-    /// Endpoints answer the deadly body like any other.
+    /// Endpoints answer deadlyBody like any other body.
     bool isRepaired { false };
 
 private:
@@ -114,7 +116,7 @@
 
     Dialect m_dialect { testDialect() };
     std::vector<std::unique_ptr<Entry>> m_entries;
-    /// Processes that have ended.
+    /// Entries that restartEntry() has replaced.
     std::vector<std::unique_ptr<Entry>> m_ended;
     std::vector<std::shared_ptr<CrashingEndpoint>> m_endpoints;
     std::size_t m_starts { 0 };
--- a/unittests/Ingress/LoadExchangeTest.cpp
+++ b/unittests/Ingress/LoadExchangeTest.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// An entry of a region, with one request at each of its endpoints.
+/// An entry of a region with one endpoint.
 struct ExchangeEntry {
     ExchangeEntry(std::string entryKey, EntryRecord entryRecord, const std::vector<std::pair<std::string, EntryRecord>>& others)
         : key(std::move(entryKey))
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Lets each entry that lives speak once; what it sends arrives at once.
+    /// Runs one tick of each entry that isn't dead and delivers its datagrams immediately.
     void round()
     {
         now += 100ms;
@@ -83,7 +83,7 @@
         to.exchange.takeDigest(*digest, now);
     }
 
-    /// Each entry has a request under way at the endpoint.
+    /// Starts a request of each entry at the endpoint.
     void beginEverywhere()
     {
         for (const auto& entry : entries)
@@ -95,7 +95,8 @@
         return const_cast<ExchangeEntry&>(entry).endpoints.peerLoads().at(entry.hash).requests;
     }
 
-    /// Keys of the entries that send the most: the collectors.
+    /// Returns the keys of the collectors: the entries that send more than four datagrams
+    /// in a tick.
     std::set<std::string> collectors() const
     {
         std::set<std::string> keys;
@@ -116,7 +117,7 @@
 
 } // namespace
 
-TEST_CASE("every entry learns what all others have under way, be they few or hundreds")
+TEST_CASE("every entry receives the loads of all others, with two to 300 entries")
 {
     for (std::size_t count : { 2, 7, 12, 13, 30, 100, 300 }) {
         ExchangeWorld world(count);
@@ -128,8 +129,9 @@
     }
 }
 
-// Reports to all would be 10,000 datagrams a second from each of a thousand.
-TEST_CASE("the datagrams of an entry don't grow with the entries of its region")
+// Guards against reports of each entry to all others, which would be 10,000 datagrams a
+// second from each of 1,000 entries.
+TEST_CASE("the datagrams of an entry don't grow with the number of entries of its region")
 {
     for (std::size_t count : { 30, 100, 300, 1'000 }) {
         ExchangeWorld world(count);
@@ -147,7 +149,7 @@
     }
 }
 
-TEST_CASE("the death of any one collector costs nothing, of both of a group only what the others know")
+TEST_CASE("loads stay known if one collector is dead, and expire if all collectors are dead")
 {
     ExchangeWorld probe(100);
     probe.beginEverywhere();
@@ -178,7 +180,7 @@
     }
 }
 
-TEST_CASE("zones that are cut off from each other know their own loads")
+TEST_CASE("entries know the loads of their own zone while the zones are partitioned")
 {
     ExchangeWorld world(100);
     world.beginEverywhere();
@@ -196,7 +198,7 @@
         CHECK(world.knownAt(*entry) == 99);
 }
 
-TEST_CASE("a part that one of a hundred entries has sent is known to all")
+TEST_CASE("a prompt segment that one of 100 entries has sent is known to all")
 {
     for (std::size_t sender : { 0, 1, 57, 99 }) {
         ExchangeWorld world(100);
@@ -212,7 +214,7 @@
     }
 }
 
-TEST_CASE("entries that have nothing under way fall silent")
+TEST_CASE("idle entries send no datagrams")
 {
     ExchangeWorld world(100);
     for (int i = 0; i < 5; ++i)
--- a/unittests/Ingress/PeerLoadsTest.cpp
+++ b/unittests/Ingress/PeerLoadsTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-TEST_CASE("loads of other entries add up, a later report replaces an earlier one, and stale ones don't count")
+TEST_CASE("loads of entries add up, a later report replaces an earlier one, and stale reports expire")
 {
     PeerLoads loads;
     TimePoint now { 10s };
@@ -25,7 +25,7 @@
     CHECK(loads.entries() == 0);
 }
 
-TEST_CASE("loads stay right over many reports of many entries")
+TEST_CASE("sums stay correct over many reports of many entries")
 {
     PeerLoads loads;
     TimePoint now { 10s };
--- a/unittests/Ingress/RegionOutlooksTest.cpp
+++ b/unittests/Ingress/RegionOutlooksTest.cpp
@@ -10,7 +10,7 @@
     return { "south", "entry", sequence, { { serviceHash("service"), endpoints, wait, 20'000us, 60'000us } } };
 }
 
-TEST_CASE("a region is as its latest report says, until that is too old")
+TEST_CASE("estimates of a region follow its latest report until the report expires")
 {
     RegionOutlooks outlooks;
     TimePoint now { 10s };
@@ -28,21 +28,21 @@
     CHECK(outlooks.age("south", now + 2s) == Duration(1'800ms));
 }
 
-TEST_CASE("what was sent to a region counts until its reports can show it")
+TEST_CASE("tokens sent to a region add to its wait until its reports include them")
 {
     RegionOutlooks outlooks;
     TimePoint now { 10s };
     outlooks.take(reportOf(1, 100ms), now);
     for (int i = 0; i < 40; ++i)
         outlooks.noteSent("south", "service", 1'000, now);
-    // Forty thousand tokens over four endpoints, 20 ms a thousand.
+    // 40,000 tokens over four endpoints at 20 ms per 1,000 tokens.
     CHECK(outlooks.waitIn("south", "service", now) == Duration(300ms));
     CHECK(*outlooks.waitIn("south", "service", now + 300ms) < 180ms);
     CHECK(*outlooks.waitIn("south", "service", now + 1'400ms) < 105ms);
     outlooks.noteSent("nowhere", "service", 1'000, now);
 }
 
-TEST_CASE("a region without endpoints keeps every request waiting")
+TEST_CASE("the estimated wait in a region without endpoints is longer than any timeout")
 {
     RegionOutlooks outlooks;
     TimePoint now { 10s };
