--- a/include/catkinwing/Ingress/CrashExchange.h
+++ b/include/catkinwing/Ingress/CrashExchange.h
@@ -29,30 +29,30 @@
 
 private:
     /// A settled crash that still has to be sent to the entries that count it.
-    struct Settled {
+    struct SettledNotice {
         CrashNotice notice;
         TimePoint at {};
-        unsigned timesToTell { 0 };
+        unsigned remainingSends { 0 };
     };
     using Outbox = std::map<SocketAddress, std::vector<CrashNotice>>;
 
-    void followEntries();
-    bool mayKnow(const EntryTable::Neighbor& neighbor, const CrashNotice& notice) const;
-    std::vector<SocketAddress> countersOf(const CrashNotice& notice) const;
-    std::vector<SocketAddress> anyOf(const CrashNotice& notice, std::size_t count) const;
-    void tellCounters(Outbox& outbox, TimePoint now);
-    void tellSuspects(Outbox& outbox, TimePoint now);
-    static std::vector<OutgoingDatagram> pack(const Outbox& outbox);
+    void updateEntries();
+    bool mayReceive(const EntryTable::Neighbor& neighbor, const CrashNotice& notice) const;
+    std::vector<SocketAddress> countingEntries(const CrashNotice& notice) const;
+    std::vector<SocketAddress> randomEntries(const CrashNotice& notice, std::size_t count) const;
+    void queueSettledNotices(Outbox& outbox, TimePoint now);
+    void queueSuspectNotices(Outbox& outbox, TimePoint now);
+    static std::vector<OutgoingDatagram> encodeOutbox(const Outbox& outbox);
 
     CrashingRequests& m_requests;
     const EntryTable& m_entries;
     EntryRecord m_self;
     Random& m_random;
-    std::vector<EntryTable::Neighbor> m_others;
+    std::vector<EntryTable::Neighbor> m_otherEntries;
     /// Change counter of the entry table as of the last update of the list of other entries.
-    std::optional<std::uint64_t> m_seenChanges;
+    std::optional<std::uint64_t> m_appliedEntryChanges;
     std::uint64_t m_ticks { 0 };
-    std::vector<Settled> m_settled;
+    std::vector<SettledNotice> m_settledNotices;
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Ingress/LoadExchange.h
+++ b/include/catkinwing/Ingress/LoadExchange.h
@@ -35,42 +35,42 @@
         std::vector<SocketAddress> members;
         std::vector<SocketAddress> collectors;
     };
-    struct Heard {
+    struct ReceivedDigest {
         LoadDigest digest;
         TimePoint at {};
     };
 
     /// Rebuilds the groups if the entry table has changed.
-    void followEntries();
-    void divide();
-    void reportToAll(const LoadReport& report, std::vector<OutgoingDatagram>& out) const;
-    void collect(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out);
-    LoadDigest digestOfGroup(const std::string& name, bool tellsParts);
-    LoadDigest digestOfRegion(const LoadDigest& group, bool tellsParts, TimePoint now);
+    void updateGroups();
+    void rebuildGroups();
+    void appendReportsToAll(const LoadReport& report, std::vector<OutgoingDatagram>& out) const;
+    void appendDigests(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out);
+    LoadDigest buildGroupDigest(const std::string& name, bool includesSegments);
+    LoadDigest buildRegionDigest(const LoadDigest& group, bool includesSegments, TimePoint now);
     /// Records the sequence of \p digest. Returns true if an equal or later sequence of
     /// the same collector and group has been received before.
-    bool isOvertaken(const LoadDigest& digest);
-    void takeRegion(const LoadDigest& digest, TimePoint now);
+    bool isOutOfOrder(const LoadDigest& digest);
+    void applyRegionDigest(const LoadDigest& digest, TimePoint now);
 
     EndpointTable& m_endpoints;
     const EntryTable& m_entries;
     EntryRecord m_self;
     std::uint64_t m_sequence { 0 };
     /// Change counter of the entry table as of the last rebuild of the groups.
-    std::optional<std::uint64_t> m_seenChanges;
+    std::optional<std::uint64_t> m_appliedEntryChanges;
     bool m_isDirect { true };
     /// Groups of the region; empty if each entry reports to all others directly.
     std::vector<Group> m_groups;
     bool m_wasIdle { false };
     bool m_wasRegionIdle { false };
     /// Last load report of this entry; region digests include it.
-    LoadReport m_lastOwn;
+    LoadReport m_lastOwnReport;
     /// Load reports of the members of this entry's group, its own included.
-    PeerLoads m_collected;
-    std::vector<PartSent> m_partsCollected;
+    PeerLoads m_groupLoads;
+    std::vector<PartSent> m_groupSegments;
     /// Last digests of the other groups, by group name.
-    std::map<std::string, Heard> m_groupDigests;
-    std::vector<PartSent> m_partsOfGroups;
+    std::map<std::string, ReceivedDigest> m_groupDigests;
+    std::vector<PartSent> m_otherGroupSegments;
     absl::flat_hash_map<std::string, std::uint64_t> m_digestSequences;
 };
 
--- a/include/catkinwing/Ingress/PeerLoads.h
+++ b/include/catkinwing/Ingress/PeerLoads.h
@@ -25,14 +25,14 @@
     std::size_t entries() const { return m_reports.size(); }
 
 private:
-    struct Heard {
+    struct ReceivedReport {
         LoadReport report;
         TimePoint at {};
     };
 
-    void add(const LoadReport& report, bool isAdded);
+    void applyToSums(const LoadReport& report, bool isAdded);
 
-    absl::flat_hash_map<std::string, Heard> m_reports;
+    absl::flat_hash_map<std::string, ReceivedReport> m_reports;
     absl::flat_hash_map<std::uint32_t, EndpointWorkload> m_sums;
 };
 
--- a/include/catkinwing/Ingress/RegionOutlooks.h
+++ b/include/catkinwing/Ingress/RegionOutlooks.h
@@ -27,7 +27,7 @@
     std::optional<Duration> age(const std::string& region, TimePoint now) const;
 
 private:
-    struct Heard {
+    struct ReceivedOutlook {
         ServiceOutlook outlook;
         TimePoint at {};
         /// Thousands of prompt tokens sent to the region that its reports don't include
@@ -35,11 +35,11 @@
         double sentKilotokens { 0 };
         TimePoint sentAt {};
     };
-    static double unreported(const Heard& heard, TimePoint now);
+    static double unreportedKilotokens(const ReceivedOutlook& received, TimePoint now);
 
     struct Region {
         TimePoint at {};
-        absl::flat_hash_map<std::uint32_t, Heard> services;
+        absl::flat_hash_map<std::uint32_t, ReceivedOutlook> services;
         absl::flat_hash_map<std::string, std::uint64_t> sequences;
     };
     std::map<std::string, Region> m_regions;
--- a/lib/Ingress/CrashExchange.cpp
+++ b/lib/Ingress/CrashExchange.cpp
@@ -11,25 +11,25 @@
 /// Number of entries that count the crashes of a request: two of all entries, which
 /// add up crashes in different regions, and two of the own region, which keep counting
 /// while the region is partitioned from the others. Two of each tolerate the loss of one.
-static constexpr std::size_t countersOfAll = 2;
-static constexpr std::size_t countersOfRegion = 2;
+static constexpr std::size_t countingEntriesOverall = 2;
+static constexpr std::size_t countingEntriesOfRegion = 2;
 /// A settled crash is sent to these entries this many times, since datagrams can be lost.
-static constexpr unsigned tellCrashTimes = 3;
+static constexpr unsigned sendsPerSettledNotice = 3;
 /// Max number of settled crashes that wait to be sent; covers the requests that run at
 /// a few endpoints.
-static constexpr std::size_t mostSettled = 2'048;
+static constexpr std::size_t maxSettledNotices = 2'048;
 /// Number of random entries that a changed notice is sent to in one tick. After five
 /// ticks each of 550 entries has received it with near certainty.
-static constexpr std::size_t toldNews = 4;
+static constexpr std::size_t newsFanout = 4;
 /// Max number of entries that are notified of a broken connection without delay. This
 /// covers all entries of a small deployment. With more entries, the same request arrives
 /// less often at each of them.
-static constexpr std::size_t toldUrgent = 24;
+static constexpr std::size_t urgentFanout = 24;
 /// Interval in ticks at which every suspected request is sent to one random entry, for
 /// entries that started later or were unreachable.
-static constexpr std::uint64_t tellAllEvery = 5;
+static constexpr std::uint64_t suspectSendTicks = 5;
 /// Max number of datagrams to one entry in one call.
-static constexpr std::size_t mostDatagrams = 4;
+static constexpr std::size_t maxDatagramsPerEntry = 4;
 
 CrashExchange::CrashExchange(CrashingRequests& requests, const EntryTable& entries, EntryRecord self, Random& random)
     : m_requests(requests)
@@ -39,27 +39,27 @@
 {
 }
 
-void CrashExchange::followEntries()
+void CrashExchange::updateEntries()
 {
-    if (m_seenChanges == m_entries.changes())
+    if (m_appliedEntryChanges == m_entries.changes())
         return;
-    m_seenChanges = m_entries.changes();
-    m_others = m_entries.others();
+    m_appliedEntryChanges = m_entries.changes();
+    m_otherEntries = m_entries.others();
 }
 
-bool CrashExchange::mayKnow(const EntryTable::Neighbor& neighbor, const CrashNotice& notice) const
+bool CrashExchange::mayReceive(const EntryTable::Neighbor& neighbor, const CrashNotice& notice) const
 {
     return notice.regions.empty() || std::count(notice.regions.begin(), notice.regions.end(), regionHash(neighbor.region)) > 0;
 }
 
 // Uses rendezvous hashing, so that entries with the same entry table choose the same
 // entries.
-std::vector<SocketAddress> CrashExchange::countersOf(const CrashNotice& notice) const
+std::vector<SocketAddress> CrashExchange::countingEntries(const CrashNotice& notice) const
 {
     std::uint64_t seed = stableHash(notice.request);
     std::vector<std::pair<std::uint64_t, const EntryTable::Neighbor*>> ranked;
-    for (const EntryTable::Neighbor& neighbor : m_others) {
-        if (mayKnow(neighbor, notice))
+    for (const EntryTable::Neighbor& neighbor : m_otherEntries) {
+        if (mayReceive(neighbor, notice))
             ranked.emplace_back(stableHash(neighbor.key, seed), &neighbor);
     }
     std::sort(ranked.begin(), ranked.end());
@@ -68,7 +68,7 @@
     std::size_t ofRegion = 0;
     for (const auto& [score, neighbor] : ranked) {
         bool isOfRegion = neighbor->region == m_self.region;
-        bool isChosen = ofAll < countersOfAll || (isOfRegion && ofRegion < countersOfRegion);
+        bool isChosen = ofAll < countingEntriesOverall || (isOfRegion && ofRegion < countingEntriesOfRegion);
         if (!isChosen)
             continue;
         ++ofAll;
@@ -78,11 +78,11 @@
     return counters;
 }
 
-std::vector<SocketAddress> CrashExchange::anyOf(const CrashNotice& notice, std::size_t count) const
+std::vector<SocketAddress> CrashExchange::randomEntries(const CrashNotice& notice, std::size_t count) const
 {
     std::vector<SocketAddress> allowed;
-    for (const EntryTable::Neighbor& neighbor : m_others) {
-        if (mayKnow(neighbor, notice))
+    for (const EntryTable::Neighbor& neighbor : m_otherEntries) {
+        if (mayReceive(neighbor, notice))
             allowed.push_back(neighbor.address);
     }
     count = std::min(count, allowed.size());
@@ -92,36 +92,36 @@
     return allowed;
 }
 
-void CrashExchange::tellCounters(Outbox& outbox, TimePoint now)
+void CrashExchange::queueSettledNotices(Outbox& outbox, TimePoint now)
 {
     for (CrashNotice& notice : m_requests.takeSettled()) {
-        if (m_settled.size() < mostSettled)
-            m_settled.push_back({ std::move(notice), now, tellCrashTimes });
+        if (m_settledNotices.size() < maxSettledNotices)
+            m_settledNotices.push_back({ std::move(notice), now, sendsPerSettledNotice });
     }
-    for (Settled& settled : m_settled) {
-        --settled.timesToTell;
+    for (SettledNotice& settled : m_settledNotices) {
+        --settled.remainingSends;
         CrashNotice notice = settled.notice;
         for (ToldCrash& crash : notice.crashes)
             crash.age += std::chrono::duration_cast<milliseconds>(now - settled.at);
         if (notice.survivedAgo)
             *notice.survivedAgo += std::chrono::duration_cast<milliseconds>(now - settled.at);
-        for (const SocketAddress& counter : countersOf(notice))
+        for (const SocketAddress& counter : countingEntries(notice))
             outbox[counter].push_back(notice);
     }
-    auto isTold = [](const Settled& settled) { return settled.timesToTell == 0; };
-    m_settled.erase(std::remove_if(m_settled.begin(), m_settled.end(), isTold), m_settled.end());
+    auto isFullySent = [](const SettledNotice& settled) { return settled.remainingSends == 0; };
+    m_settledNotices.erase(std::remove_if(m_settledNotices.begin(), m_settledNotices.end(), isFullySent), m_settledNotices.end());
 }
 
-void CrashExchange::tellSuspects(Outbox& outbox, TimePoint now)
+void CrashExchange::queueSuspectNotices(Outbox& outbox, TimePoint now)
 {
     for (const CrashNotice& notice : m_requests.takeNews(now)) {
-        for (const SocketAddress& other : anyOf(notice, toldNews))
+        for (const SocketAddress& other : randomEntries(notice, newsFanout))
             outbox[other].push_back(notice);
     }
-    if (m_ticks % tellAllEvery != 0)
+    if (m_ticks % suspectSendTicks != 0)
         return;
     for (const CrashNotice& notice : m_requests.suspects(now)) {
-        for (const SocketAddress& other : anyOf(notice, 1))
+        for (const SocketAddress& other : randomEntries(notice, 1))
             outbox[other].push_back(notice);
     }
 }
@@ -130,31 +130,31 @@
 {
     ++m_ticks;
     m_requests.houseKeep(now);
-    if (m_requests.isEmpty() && m_settled.empty())
+    if (m_requests.isEmpty() && m_settledNotices.empty())
         return {};
-    followEntries();
+    updateEntries();
     Outbox outbox;
-    tellCounters(outbox, now);
-    tellSuspects(outbox, now);
-    return pack(outbox);
+    queueSettledNotices(outbox, now);
+    queueSuspectNotices(outbox, now);
+    return encodeOutbox(outbox);
 }
 
 std::vector<OutgoingDatagram> CrashExchange::tellUrgent(TimePoint now)
 {
-    followEntries();
+    updateEntries();
     Outbox outbox;
     for (const CrashNotice& notice : m_requests.takeUrgent(now)) {
-        for (const SocketAddress& other : anyOf(notice, toldUrgent))
+        for (const SocketAddress& other : randomEntries(notice, urgentFanout))
             outbox[other].push_back(notice);
     }
-    return pack(outbox);
+    return encodeOutbox(outbox);
 }
 
-std::vector<OutgoingDatagram> CrashExchange::pack(const Outbox& outbox)
+std::vector<OutgoingDatagram> CrashExchange::encodeOutbox(const Outbox& outbox)
 {
     std::vector<OutgoingDatagram> out;
     for (const auto& [to, notices] : outbox) {
-        std::size_t count = std::min(notices.size(), mostNotices * mostDatagrams);
+        std::size_t count = std::min(notices.size(), mostNotices * maxDatagramsPerEntry);
         for (std::size_t first = 0; first < count; first += mostNotices) {
             std::size_t last = std::min(first + mostNotices, count);
             CrashReport report;
@@ -167,9 +167,9 @@
 
 void CrashExchange::take(const SocketAddress& from, const CrashReport& report, TimePoint now)
 {
-    followEntries();
-    auto isSender = [&](const EntryTable::Neighbor& neighbor) { return neighbor.address == from; };
-    if (std::none_of(m_others.begin(), m_others.end(), isSender))
+    updateEntries();
+    auto isFromSender = [&](const EntryTable::Neighbor& neighbor) { return neighbor.address == from; };
+    if (std::none_of(m_otherEntries.begin(), m_otherEntries.end(), isFromSender))
         return;
     for (const CrashNotice& notice : report.notices)
         m_requests.take(notice, now);
--- a/lib/Ingress/LoadExchange.cpp
+++ b/lib/Ingress/LoadExchange.cpp
@@ -8,23 +8,23 @@
 /// Max number of entries of a region that report to each other directly. This costs an
 /// entry about 60 datagrams a second in each direction, and loads arrive without the
 /// additional delay of a collector.
-static constexpr std::size_t mostDirect = 12;
+static constexpr std::size_t maxDirectEntries = 12;
 /// Direct reports are sent at every second tick only, since no collector adds to their
 /// age.
-static constexpr std::uint64_t directEvery = 2;
+static constexpr std::uint64_t directReportTicks = 2;
 /// Digests of other groups expire after the same time as load reports.
 static constexpr std::chrono::milliseconds digestLifetime { 1'000 };
 /// Max number of pairs of collector and group whose last sequence is kept.
-static constexpr std::size_t maxCollectorsKept = 256;
+static constexpr std::size_t maxTrackedCollectors = 256;
 /// Max number of endpoints in one digest, so that it fits into a datagram. A digest
 /// keeps the busiest endpoints; the others have little load.
-static constexpr std::size_t mostLoads = 2'000;
+static constexpr std::size_t maxDigestLoads = 2'000;
 /// Max number of prompt segments in one digest. Entries that miss a segment only cause
 /// one more prefill of it.
-static constexpr std::size_t mostParts = 256;
+static constexpr std::size_t maxDigestSegments = 256;
 /// Group name of region digests. It also serves as the key of the region's loads among
 /// the load reports; the keys of entries are never empty.
-static constexpr const char* regionName = "";
+static constexpr const char* regionDigestName = "";
 
 LoadExchange::LoadExchange(EndpointTable& endpoints, const EntryTable& entries, EntryRecord self)
     : m_endpoints(endpoints)
@@ -35,22 +35,22 @@
 
 // Discards all received loads when the region switches between direct reports and
 // groups, since the same load would otherwise be counted by both.
-void LoadExchange::followEntries()
+void LoadExchange::updateGroups()
 {
-    if (m_seenChanges == m_entries.changes())
+    if (m_appliedEntryChanges == m_entries.changes())
         return;
-    m_seenChanges = m_entries.changes();
-    bool wasDirect = std::exchange(m_isDirect, m_entries.peersOf(m_self.region).size() < mostDirect);
+    m_appliedEntryChanges = m_entries.changes();
+    bool wasDirect = std::exchange(m_isDirect, m_entries.peersOf(m_self.region).size() < maxDirectEntries);
     if (wasDirect != m_isDirect) {
         m_endpoints.peerLoads() = PeerLoads();
-        m_collected = PeerLoads();
+        m_groupLoads = PeerLoads();
     }
     m_groups.clear();
     if (!m_isDirect)
-        divide();
+        rebuildGroups();
 }
 
-void LoadExchange::divide()
+void LoadExchange::rebuildGroups()
 {
     std::vector<GroupedEntry> entries;
     std::map<std::string, SocketAddress> addresses;
@@ -58,11 +58,11 @@
         addresses[peer.entry.key] = peer.address;
         entries.push_back(std::move(peer.entry));
     }
-    for (const EntryGroup& divided : divideIntoGroups(entries)) {
-        Group group { divided.name, {}, {} };
-        for (const std::string& key : divided.members)
+    for (const EntryGroup& entryGroup : divideIntoGroups(entries)) {
+        Group group { entryGroup.name, {}, {} };
+        for (const std::string& key : entryGroup.members)
             group.members.push_back(addresses[key]);
-        for (const std::string& key : divided.collectors)
+        for (const std::string& key : entryGroup.collectors)
             group.collectors.push_back(addresses[key]);
         m_groups.push_back(std::move(group));
     }
@@ -77,38 +77,38 @@
 std::vector<OutgoingDatagram> LoadExchange::tick(const std::string& key, TimePoint now)
 {
     m_endpoints.peerLoads().expire(now);
-    m_collected.expire(now);
+    m_groupLoads.expire(now);
     ++m_sequence;
-    followEntries();
-    if (m_isDirect && m_sequence % directEvery != 0)
+    updateGroups();
+    if (m_isDirect && m_sequence % directReportTicks != 0)
         return {};
     LoadReport own { key, m_sequence, m_endpoints.ownLoads(now), m_endpoints.partsSent() };
     bool isIdle = own.loads.empty() && own.parts.empty();
-    bool isSilent = isIdle && m_wasIdle;
+    bool isSuppressed = isIdle && m_wasIdle;
     m_wasIdle = isIdle;
     std::vector<OutgoingDatagram> out;
     if (m_isDirect) {
-        if (!isSilent)
-            reportToAll(own, out);
+        if (!isSuppressed)
+            appendReportsToAll(own, out);
         return out;
     }
     auto group = std::find_if(m_groups.begin(), m_groups.end(), [this](const Group& candidate) { return contains(candidate.members, m_self.peers); });
     if (group == m_groups.end())
         return out;
-    if (!isSilent) {
+    if (!isSuppressed) {
         std::string bytes = encodeLoadReport(own);
         for (const SocketAddress& collector : group->collectors) {
             if (collector != m_self.peers)
                 out.push_back({ collector, bytes });
         }
     }
-    m_lastOwn = std::move(own);
+    m_lastOwnReport = std::move(own);
     if (contains(group->collectors, m_self.peers))
-        collect(*group, now, out);
+        appendDigests(*group, now, out);
     return out;
 }
 
-void LoadExchange::reportToAll(const LoadReport& report, std::vector<OutgoingDatagram>& out) const
+void LoadExchange::appendReportsToAll(const LoadReport& report, std::vector<OutgoingDatagram>& out) const
 {
     std::string bytes = encodeLoadReport(report);
     for (const SocketAddress& peer : m_entries.peersOf(m_self.region))
@@ -118,25 +118,25 @@
 // Each collector sends its digests to all collectors of the other groups and to all
 // members of its own, so that one collector of a group may fail. Only the first
 // collector of a group includes prompt segments, which would otherwise count twice.
-void LoadExchange::collect(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out)
+void LoadExchange::appendDigests(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out)
 {
-    m_collected.take(m_lastOwn, now);
-    m_partsCollected.insert(m_partsCollected.end(), m_lastOwn.parts.begin(), m_lastOwn.parts.end());
-    bool tellsParts = group.collectors.front() == m_self.peers;
-    LoadDigest ofGroup = digestOfGroup(group.name, tellsParts);
-    LoadDigest ofRegion = digestOfRegion(ofGroup, tellsParts, now);
-    takeRegion(ofRegion, now);
-    bool isIdle = ofRegion.loads.empty() && ofRegion.parts.empty();
+    m_groupLoads.take(m_lastOwnReport, now);
+    m_groupSegments.insert(m_groupSegments.end(), m_lastOwnReport.parts.begin(), m_lastOwnReport.parts.end());
+    bool includesSegments = group.collectors.front() == m_self.peers;
+    LoadDigest groupDigest = buildGroupDigest(group.name, includesSegments);
+    LoadDigest regionDigest = buildRegionDigest(groupDigest, includesSegments, now);
+    applyRegionDigest(regionDigest, now);
+    bool isIdle = regionDigest.loads.empty() && regionDigest.parts.empty();
     if (std::exchange(m_wasRegionIdle, isIdle) && isIdle)
         return;
-    std::string bytes = encodeLoadDigest(ofGroup);
+    std::string bytes = encodeLoadDigest(groupDigest);
     for (const Group& other : m_groups) {
         if (other.name == group.name)
             continue;
         for (const SocketAddress& collector : other.collectors)
             out.push_back({ collector, bytes });
     }
-    bytes = encodeLoadDigest(ofRegion);
+    bytes = encodeLoadDigest(regionDigest);
     for (const SocketAddress& member : group.members) {
         if (member != m_self.peers)
             out.push_back({ member, bytes });
@@ -145,61 +145,61 @@
 
 static void keepBusiest(std::vector<EndpointWorkload>& loads)
 {
-    if (loads.size() <= mostLoads)
+    if (loads.size() <= maxDigestLoads)
         return;
-    std::partial_sort(loads.begin(), loads.begin() + mostLoads, loads.end(),
+    std::partial_sort(loads.begin(), loads.begin() + maxDigestLoads, loads.end(),
         [](const EndpointWorkload& a, const EndpointWorkload& b) { return a.requests + a.unreadKilotokens > b.requests + b.unreadKilotokens; });
-    loads.resize(mostLoads);
+    loads.resize(maxDigestLoads);
 }
 
-LoadDigest LoadExchange::digestOfGroup(const std::string& name, bool tellsParts)
+LoadDigest LoadExchange::buildGroupDigest(const std::string& name, bool includesSegments)
 {
-    LoadDigest digest { name, m_lastOwn.entry, m_sequence, m_collected.all(), {} };
+    LoadDigest digest { name, m_lastOwnReport.entry, m_sequence, m_groupLoads.all(), {} };
     keepBusiest(digest.loads);
-    std::vector<PartSent> parts = std::exchange(m_partsCollected, {});
-    if (!tellsParts)
+    std::vector<PartSent> parts = std::exchange(m_groupSegments, {});
+    if (!includesSegments)
         return digest;
-    parts.resize(std::min(parts.size(), mostParts));
+    parts.resize(std::min(parts.size(), maxDigestSegments));
     digest.parts = std::move(parts);
     return digest;
 }
 
-LoadDigest LoadExchange::digestOfRegion(const LoadDigest& group, bool tellsParts, TimePoint now)
+LoadDigest LoadExchange::buildRegionDigest(const LoadDigest& group, bool includesSegments, TimePoint now)
 {
     PeerLoads sums;
     sums.take({ group.group, 1, group.loads, {} }, now);
-    for (auto heard = m_groupDigests.begin(); heard != m_groupDigests.end();) {
-        bool isStale = now - heard->second.at > digestLifetime;
+    for (auto received = m_groupDigests.begin(); received != m_groupDigests.end();) {
+        bool isStale = now - received->second.at > digestLifetime;
         if (!isStale)
-            sums.take({ heard->first, 1, heard->second.digest.loads, {} }, now);
-        heard = isStale ? m_groupDigests.erase(heard) : std::next(heard);
+            sums.take({ received->first, 1, received->second.digest.loads, {} }, now);
+        received = isStale ? m_groupDigests.erase(received) : std::next(received);
     }
-    LoadDigest digest { regionName, group.collector, m_sequence, sums.all(), group.parts };
+    LoadDigest digest { regionDigestName, group.collector, m_sequence, sums.all(), group.parts };
     keepBusiest(digest.loads);
-    std::vector<PartSent> parts = std::exchange(m_partsOfGroups, {});
-    if (!tellsParts)
+    std::vector<PartSent> parts = std::exchange(m_otherGroupSegments, {});
+    if (!includesSegments)
         return digest;
     digest.parts.insert(digest.parts.end(), parts.begin(), parts.end());
-    digest.parts.resize(std::min(digest.parts.size(), mostParts));
+    digest.parts.resize(std::min(digest.parts.size(), maxDigestSegments));
     return digest;
 }
 
 void LoadExchange::takeReport(LoadReport report, TimePoint now)
 {
-    followEntries();
+    updateGroups();
     m_endpoints.takePartsSent(report.parts, now);
     if (m_isDirect) {
         m_endpoints.peerLoads().take(std::move(report), now);
         return;
     }
-    if (m_partsCollected.size() < mostParts)
-        m_partsCollected.insert(m_partsCollected.end(), report.parts.begin(), report.parts.end());
-    m_collected.take(std::move(report), now);
+    if (m_groupSegments.size() < maxDigestSegments)
+        m_groupSegments.insert(m_groupSegments.end(), report.parts.begin(), report.parts.end());
+    m_groupLoads.take(std::move(report), now);
 }
 
-bool LoadExchange::isOvertaken(const LoadDigest& digest)
+bool LoadExchange::isOutOfOrder(const LoadDigest& digest)
 {
-    if (m_digestSequences.size() >= maxCollectorsKept)
+    if (m_digestSequences.size() >= maxTrackedCollectors)
         m_digestSequences.clear();
     std::uint64_t& last = m_digestSequences[digest.collector + "|" + digest.group];
     if (digest.sequence <= last)
@@ -210,32 +210,32 @@
 
 void LoadExchange::takeDigest(LoadDigest digest, TimePoint now)
 {
-    followEntries();
-    if (m_isDirect || isOvertaken(digest))
+    updateGroups();
+    if (m_isDirect || isOutOfOrder(digest))
         return;
-    if (digest.group != regionName) {
+    if (digest.group != regionDigestName) {
         m_endpoints.takePartsSent(digest.parts, now);
-        if (m_partsOfGroups.size() < mostParts)
-            m_partsOfGroups.insert(m_partsOfGroups.end(), digest.parts.begin(), digest.parts.end());
+        if (m_otherGroupSegments.size() < maxDigestSegments)
+            m_otherGroupSegments.insert(m_otherGroupSegments.end(), digest.parts.begin(), digest.parts.end());
         std::string group = digest.group;
         m_groupDigests[group] = { std::move(digest), now };
         return;
     }
     auto isOwn = [this](const PartSent& sent) {
-        return std::any_of(m_lastOwn.parts.begin(), m_lastOwn.parts.end(), [&](const PartSent& own) { return own.place == sent.place && own.part == sent.part; });
+        return std::any_of(m_lastOwnReport.parts.begin(), m_lastOwnReport.parts.end(), [&](const PartSent& own) { return own.place == sent.place && own.part == sent.part; });
     };
     digest.parts.erase(std::remove_if(digest.parts.begin(), digest.parts.end(), isOwn), digest.parts.end());
     m_endpoints.takePartsSent(digest.parts, now);
-    takeRegion(digest, now);
+    applyRegionDigest(digest, now);
 }
 
 // Subtracts this entry's last report from the digest, since the endpoint table has the
 // current load of this entry itself.
-void LoadExchange::takeRegion(const LoadDigest& digest, TimePoint now)
+void LoadExchange::applyRegionDigest(const LoadDigest& digest, TimePoint now)
 {
-    LoadReport others { regionName, m_endpoints.peerLoads().nextSequence(regionName), {}, {} };
+    LoadReport others { regionDigestName, m_endpoints.peerLoads().nextSequence(regionDigestName), {}, {} };
     absl::flat_hash_map<std::uint32_t, EndpointWorkload> own;
-    for (const EndpointWorkload& load : m_lastOwn.loads)
+    for (const EndpointWorkload& load : m_lastOwnReport.loads)
         own[load.endpoint] = load;
     for (EndpointWorkload load : digest.loads) {
         auto found = own.find(load.endpoint);
--- a/lib/Ingress/PeerLoads.cpp
+++ b/lib/Ingress/PeerLoads.cpp
@@ -10,7 +10,7 @@
 static constexpr std::chrono::milliseconds reportLifetime { 1'000 };
 
 // Subtracts by adding the negated value; unsigned arithmetic wraps around.
-void PeerLoads::add(const LoadReport& report, bool isAdded)
+void PeerLoads::applyToSums(const LoadReport& report, bool isAdded)
 {
     for (const EndpointWorkload& load : report.loads) {
         EndpointWorkload& sum = m_sums.try_emplace(load.endpoint, EndpointWorkload { load.endpoint, 0, 0, 0, 0 }).first->second;
@@ -25,25 +25,25 @@
 
 void PeerLoads::take(LoadReport report, TimePoint now)
 {
-    Heard& heard = m_reports[report.entry];
-    bool isOvertaken = heard.at != TimePoint {} && report.sequence <= heard.report.sequence;
-    if (isOvertaken)
+    ReceivedReport& received = m_reports[report.entry];
+    bool isOutOfOrder = received.at != TimePoint {} && report.sequence <= received.report.sequence;
+    if (isOutOfOrder)
         return;
-    add(heard.report, false);
-    heard.report = std::move(report);
-    heard.at = now;
-    add(heard.report, true);
+    applyToSums(received.report, false);
+    received.report = std::move(report);
+    received.at = now;
+    applyToSums(received.report, true);
 }
 
 void PeerLoads::expire(TimePoint now)
 {
     std::vector<std::string> stale;
-    for (const auto& [entry, heard] : m_reports) {
-        if (now - heard.at > reportLifetime)
+    for (const auto& [entry, received] : m_reports) {
+        if (now - received.at > reportLifetime)
             stale.push_back(entry);
     }
     for (const std::string& entry : stale) {
-        add(m_reports[entry].report, false);
+        applyToSums(m_reports[entry].report, false);
         m_reports.erase(entry);
     }
 }
--- a/lib/Ingress/RegionOutlooks.cpp
+++ b/lib/Ingress/RegionOutlooks.cpp
@@ -10,16 +10,16 @@
 static constexpr std::chrono::milliseconds reportLifetime { 1'500 };
 /// Mean time until the reports of a region include a request that was sent there: the
 /// round trip between the regions and one report interval.
-static constexpr std::chrono::milliseconds unreportedTime { 300 };
+static constexpr std::chrono::milliseconds meanReportDelay { 300 };
 /// Wait in a region without endpoints; longer than any request may wait.
 static constexpr std::chrono::hours noEndpointWait { 1 };
 /// Max number of entries of a region whose last sequence is kept.
-static constexpr std::size_t maxEntriesKept = 256;
+static constexpr std::size_t maxTrackedEntries = 256;
 
 void RegionOutlooks::take(const RegionReport& report, TimePoint now)
 {
     Region& region = m_regions[report.region];
-    if (region.sequences.size() >= maxEntriesKept)
+    if (region.sequences.size() >= maxTrackedEntries)
         region.sequences.clear();
     std::uint64_t& sequence = region.sequences[report.entry];
     if (report.sequence <= sequence)
@@ -27,16 +27,16 @@
     sequence = report.sequence;
     region.at = now;
     for (const ServiceOutlook& outlook : report.services) {
-        Heard& heard = region.services[outlook.service];
-        heard.outlook = outlook;
-        heard.at = now;
+        ReceivedOutlook& received = region.services[outlook.service];
+        received.outlook = outlook;
+        received.at = now;
     }
 }
 
-double RegionOutlooks::unreported(const Heard& heard, TimePoint now)
+double RegionOutlooks::unreportedKilotokens(const ReceivedOutlook& received, TimePoint now)
 {
-    double passed = std::chrono::duration<double>(now - heard.sentAt) / unreportedTime;
-    return heard.sentKilotokens * std::exp(-passed);
+    double elapsedDelays = std::chrono::duration<double>(now - received.sentAt) / meanReportDelay;
+    return received.sentKilotokens * std::exp(-elapsedDelays);
 }
 
 void RegionOutlooks::noteSent(const std::string& region, absl::string_view service, std::int64_t tokens, TimePoint now)
@@ -44,11 +44,11 @@
     auto found = m_regions.find(region);
     if (found == m_regions.end())
         return;
-    auto heard = found->second.services.find(serviceHash(service));
-    if (heard == found->second.services.end())
+    auto received = found->second.services.find(serviceHash(service));
+    if (received == found->second.services.end())
         return;
-    heard->second.sentKilotokens = unreported(heard->second, now) + static_cast<double>(tokens) / tokensPerKilotoken;
-    heard->second.sentAt = now;
+    received->second.sentKilotokens = unreportedKilotokens(received->second, now) + static_cast<double>(tokens) / tokensPerKilotoken;
+    received->second.sentAt = now;
 }
 
 std::optional<Duration> RegionOutlooks::waitIn(const std::string& region, absl::string_view service, TimePoint now) const
@@ -59,11 +59,11 @@
     auto entry = found->second.services.find(serviceHash(service));
     if (entry == found->second.services.end() || now - entry->second.at > reportLifetime)
         return std::nullopt;
-    const Heard& heard = entry->second;
-    if (heard.outlook.endpoints == 0)
+    const ReceivedOutlook& received = entry->second;
+    if (received.outlook.endpoints == 0)
         return noEndpointWait;
-    double kilotokens = unreported(heard, now) / heard.outlook.endpoints;
-    return heard.outlook.wait + std::chrono::duration_cast<Duration>(heard.outlook.perKilotoken * kilotokens);
+    double kilotokens = unreportedKilotokens(received, now) / received.outlook.endpoints;
+    return received.outlook.wait + std::chrono::duration_cast<Duration>(received.outlook.perKilotoken * kilotokens);
 }
 
 Duration RegionOutlooks::timePerEventIn(const std::string& region, absl::string_view service) const
--- a/unittests/Ingress/CrashExchangeTest.cpp
+++ b/unittests/Ingress/CrashExchangeTest.cpp
@@ -9,12 +9,12 @@
 using namespace std::chrono_literals;
 
 /// Max bytes of crash reports that an entry may send in a second.
-static constexpr std::size_t bytesPerSecond = 3'000;
+static constexpr std::size_t maxBytesPerSecond = 3'000;
 
 namespace {
 
-struct TellingEntry {
-    TellingEntry(EntryRecord entryRecord, Random& random)
+struct SimulatedEntry {
+    SimulatedEntry(EntryRecord entryRecord, Random& random)
         : record(std::move(entryRecord))
         , entries(record)
         , exchange(requests, entries, record, random)
@@ -29,13 +29,13 @@
 };
 
 /// Entries of several regions and the datagrams between them.
-struct TellingWorld {
-    TellingWorld(std::size_t count, std::size_t regions)
+struct SimulatedEntries {
+    SimulatedEntries(std::size_t count, std::size_t regions)
     {
         for (std::size_t i = 0; i < count; ++i) {
             std::string region = "region-" + std::to_string(i % regions);
             SocketAddress address { "10.0." + std::to_string(i / 200) + "." + std::to_string(i % 200 + 1), 7 };
-            entries.push_back(std::make_unique<TellingEntry>(EntryRecord { region, region + "-a", address, address }, random));
+            entries.push_back(std::make_unique<SimulatedEntry>(EntryRecord { region, region + "-a", address, address }, random));
             byAddress[address] = entries.back().get();
         }
         for (const auto& entry : entries) {
@@ -45,10 +45,10 @@
     }
 
     /// Delivers the datagrams of the last round and runs one tick of each entry.
-    void round()
+    void runRound()
     {
         now += 100ms;
-        for (const auto& [from, datagram] : std::exchange(underWay, {})) {
+        for (const auto& [from, datagram] : std::exchange(inFlight, {})) {
             absl::StatusOr<CrashReport> report = decodeCrashReport(datagram.bytes);
             REQUIRE(report.ok());
             byAddress.at(datagram.to)->exchange.take(from, *report, now);
@@ -56,42 +56,42 @@
         for (const auto& entry : entries) {
             for (OutgoingDatagram& datagram : entry->exchange.tick(now)) {
                 entry->bytes += datagram.bytes.size();
-                underWay.emplace_back(entry->record.peers, std::move(datagram));
+                inFlight.emplace_back(entry->record.peers, std::move(datagram));
             }
         }
     }
-    void rounds(int count)
+    void runRounds(int count)
     {
         for (int i = 0; i < count; ++i)
-            round();
+            runRound();
     }
 
-    void crash(std::size_t entry, unsigned char request, std::uint32_t endpoint)
+    void recordCrash(std::size_t entry, unsigned char request, std::uint32_t endpoint)
     {
         RequestFingerprint fingerprint;
         fingerprint.bytes[0] = request;
         entries[entry]->requests.noteBroken(fingerprint, endpoint, {}, now);
     }
-    std::size_t knowing() const
+    std::size_t refusingEntries() const
     {
         RequestFingerprint fingerprint;
         fingerprint.bytes[0] = 1;
         return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), [&](const auto& entry) { return entry->requests.refusedFor(fingerprint, now).has_value(); }));
     }
     /// Returns the max number of bytes that one entry has sent since the last call.
-    std::size_t mostBytes()
+    std::size_t maxBytesSent()
     {
-        std::size_t most = 0;
+        std::size_t maxBytes = 0;
         for (const auto& entry : entries)
-            most = std::max(most, std::exchange(entry->bytes, 0));
-        return most;
+            maxBytes = std::max(maxBytes, std::exchange(entry->bytes, 0));
+        return maxBytes;
     }
 
     TimePoint now { 100s };
     Random random { 5 };
-    std::vector<std::unique_ptr<TellingEntry>> entries;
-    std::map<SocketAddress, TellingEntry*> byAddress;
-    std::vector<std::pair<SocketAddress, OutgoingDatagram>> underWay;
+    std::vector<std::unique_ptr<SimulatedEntry>> entries;
+    std::map<SocketAddress, SimulatedEntry*> byAddress;
+    std::vector<std::pair<SocketAddress, OutgoingDatagram>> inFlight;
 };
 
 } // namespace
@@ -100,19 +100,19 @@
 TEST_CASE("crashes recorded by three entries reach all entries in time, and the bytes that an entry sends don't grow with their number")
 {
     for (std::size_t count : { 7, 30, 295, 550 }) {
-        TellingWorld world(count, 3);
+        SimulatedEntries world(count, 3);
         for (std::uint32_t i = 0; i < crashesBeforeRefusal; ++i) {
-            world.crash(i * count / crashesBeforeRefusal, 1, 100 + i);
-            world.rounds(4);
+            world.recordCrash(i * count / crashesBeforeRefusal, 1, 100 + i);
+            world.runRounds(4);
         }
         // The last crash is settled after half a second; its notice reaches all entries
         // within another second.
-        world.rounds(12);
+        world.runRounds(12);
         INFO(count << " entries");
-        CHECK(world.knowing() == count);
-        CHECK(world.mostBytes() <= bytesPerSecond * 2);
-        world.rounds(100);
-        CHECK(world.mostBytes() <= bytesPerSecond);
+        CHECK(world.refusingEntries() == count);
+        CHECK(world.maxBytesSent() <= maxBytesPerSecond * 2);
+        world.runRounds(100);
+        CHECK(world.maxBytesSent() <= maxBytesPerSecond);
     }
 }
 
@@ -120,12 +120,12 @@
 // crashed once.
 TEST_CASE("a single crash of an endpoint with many requests is sent to few entries only, and no request is refused for it")
 {
-    TellingWorld world(295, 3);
+    SimulatedEntries world(295, 3);
     for (unsigned char i = 0; i < 64; ++i)
-        world.crash(static_cast<std::size_t>(i) * 4, i, 100);
-    world.rounds(10);
-    CHECK(world.mostBytes() <= bytesPerSecond);
-    CHECK(world.knowing() == 0);
-    world.rounds(50);
-    CHECK(world.mostBytes() == 0);
+        world.recordCrash(static_cast<std::size_t>(i) * 4, i, 100);
+    world.runRounds(10);
+    CHECK(world.maxBytesSent() <= maxBytesPerSecond);
+    CHECK(world.refusingEntries() == 0);
+    world.runRounds(50);
+    CHECK(world.maxBytesSent() == 0);
 }
--- a/unittests/Ingress/CrashingRequestTest.cpp
+++ b/unittests/Ingress/CrashingRequestTest.cpp
@@ -9,28 +9,28 @@
 using namespace std::chrono_literals;
 
 /// Entries that can reach each other know within this time that three endpoints have
-/// crashed while they ran a request. The request then has at most mostSentLater further
+/// crashed while they ran a request. The request then has at most maxLaterAttempts further
 /// attempts.
-static constexpr Duration knownWithin = 5s;
-static constexpr std::size_t mostSentLater = 3;
+static constexpr Duration propagationTime = 5s;
+static constexpr std::size_t maxLaterAttempts = 3;
 
 namespace {
 
 /// Sends requests to random entries for \p span: another request every 30 ms and the
 /// request that crashes endpoints every 0.1 s to 0.7 s.
-void runWithDeadly(EntryFleet& fleet, Duration span)
+void runWithCrashingRequest(EntryFleet& fleet, Duration span)
 {
     TimePoint end = fleet.now() + span;
-    TimePoint nextDeadly = fleet.now();
+    TimePoint nextCrashing = fleet.now();
     TimePoint nextOther = fleet.now();
     for (int i = 0; fleet.now() < end; ++i) {
         if (fleet.now() >= nextOther) {
-            fleet.sendToAny("other-" + std::to_string(i));
+            fleet.sendToRandomEntry("other-" + std::to_string(i));
             nextOther += 30ms;
         }
-        if (fleet.now() >= nextDeadly) {
-            fleet.sendToAny(deadlyBody);
-            nextDeadly = fleet.now() + 100ms + std::chrono::milliseconds(fleet.random.below(600));
+        if (fleet.now() >= nextCrashing) {
+            fleet.sendToRandomEntry(crashingBody);
+            nextCrashing = fleet.now() + 100ms + std::chrono::milliseconds(fleet.random.below(600));
         }
         fleet.advance(10ms);
     }
@@ -39,12 +39,12 @@
 std::size_t othersServed(const EntryFleet& fleet, TimePoint from)
 {
     return static_cast<std::size_t>(std::count_if(fleet.sent.begin(), fleet.sent.end(),
-        [&](const SentRequest& request) { return request.at >= from && request.body != deadlyBody && request.answer->status() == 200; }));
+        [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody && request.answer->status() == 200; }));
 }
 
 std::size_t othersSent(const EntryFleet& fleet, TimePoint from)
 {
-    return static_cast<std::size_t>(std::count_if(fleet.sent.begin(), fleet.sent.end(), [&](const SentRequest& request) { return request.at >= from && request.body != deadlyBody; }));
+    return static_cast<std::size_t>(std::count_if(fleet.sent.begin(), fleet.sent.end(), [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody; }));
 }
 
 } // namespace
@@ -55,11 +55,11 @@
 {
     for (unsigned seed = 1; seed <= 8; ++seed) {
         EntryFleet fleet(seed);
-        runWithDeadly(fleet, 22s);
+        runWithCrashingRequest(fleet, 22s);
         fleet.advance(5s);
         INFO("seed " << seed << ", " << fleet.crashes.size() << " crashes in all");
         REQUIRE(fleet.crashes.size() >= 3);
-        CHECK(fleet.arrivalsAfter(deadlyBody, fleet.crashes[2] + knownWithin) <= mostSentLater);
+        CHECK(fleet.attemptsAfter(crashingBody, fleet.crashes[2] + propagationTime) <= maxLaterAttempts);
     }
 }
 
@@ -72,13 +72,13 @@
         fleet.crashesAfter = 100ms;
         fleet.setAttempts(1);
         for (int i = 0; i < 60; ++i) {
-            fleet.sendToAny(deadlyBody);
-            fleet.sendToAny("other-" + std::to_string(i));
+            fleet.sendToRandomEntry(crashingBody);
+            fleet.sendToRandomEntry("other-" + std::to_string(i));
             fleet.advance(100ms);
         }
         INFO("seed " << seed);
         CHECK(fleet.crashes.size() <= 4);
-        CHECK(fleet.servedShare("other-59") == 1);
+        CHECK(fleet.servedFraction("other-59") == 1);
     }
 }
 
@@ -87,9 +87,9 @@
 {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         EntryFleet fleet(seed, 6, 9);
-        fleet.lost = 0.3;
-        fleet.silence(seed % fleet.entries());
-        runWithDeadly(fleet, 10s);
+        fleet.lostFraction = 0.3;
+        fleet.dropDatagrams(seed % fleet.entries());
+        runWithCrashingRequest(fleet, 10s);
         fleet.advance(5s);
         for (std::size_t entry = 0; entry < fleet.entries(); ++entry) {
             if (entry % 4 == seed % 4)
@@ -101,10 +101,10 @@
         REQUIRE(fleet.crashes.size() >= 3);
         for (std::size_t entry = 0; entry < fleet.entries(); ++entry) {
             if (entry != seed % fleet.entries())
-                fleet.send(entry, deadlyBody);
+                fleet.send(entry, crashingBody);
         }
         fleet.advance(5s);
-        CHECK(fleet.arrivalsAfter(deadlyBody, restarted) == 0);
+        CHECK(fleet.attemptsAfter(crashingBody, restarted) == 0);
     }
 }
 
@@ -114,11 +114,11 @@
     for (unsigned seed = 1; seed <= 6; ++seed) {
         EntryFleet fleet(seed);
         fleet.cutRegions(true);
-        runWithDeadly(fleet, 15s);
-        TimePoint known = fleet.now();
-        runWithDeadly(fleet, 10s);
+        runWithCrashingRequest(fleet, 15s);
+        TimePoint afterPropagation = fleet.now();
+        runWithCrashingRequest(fleet, 10s);
         INFO("seed " << seed << ", " << fleet.crashes.size() << " crashes");
-        CHECK(fleet.arrivalsAfter(deadlyBody, known) == 0);
+        CHECK(fleet.attemptsAfter(crashingBody, afterPropagation) == 0);
     }
 }
 
@@ -128,14 +128,14 @@
 {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         EntryFleet fleet(seed);
-        runWithDeadly(fleet, 8s);
+        runWithCrashingRequest(fleet, 8s);
         TimePoint after = fleet.now();
-        runWithDeadly(fleet, 10s);
+        runWithCrashingRequest(fleet, 10s);
         fleet.advance(5s);
         INFO("seed " << seed);
         CHECK(othersServed(fleet, after) == othersSent(fleet, after));
         for (const SentRequest& request : fleet.sent) {
-            if (request.body != deadlyBody)
+            if (request.body != crashingBody)
                 CHECK(request.answer->body.find("crashes_endpoints") == std::string::npos);
         }
     }
@@ -148,13 +148,13 @@
     for (unsigned seed = 1; seed <= 20; ++seed) {
         EntryFleet fleet(seed);
         for (int i = 0; i < 2'000; ++i) {
-            fleet.sendToAny(i % 2 == 0 ? "popular" : "other");
+            fleet.sendToRandomEntry(i % 2 == 0 ? "popular" : "other");
             if (i % 40 == 0)
                 fleet.crashOne(fleet.random.below(2) == 0 ? "north" : "south");
             fleet.advance(10ms);
         }
         fleet.advance(5s);
-        INFO("seed " << seed << ", popular " << fleet.servedShare("popular") << ", other " << fleet.servedShare("other"));
+        INFO("seed " << seed << ", popular " << fleet.servedFraction("popular") << ", other " << fleet.servedFraction("other"));
         for (const SentRequest& request : fleet.sent)
             REQUIRE(request.answer->body.find("crash") == std::string::npos);
     }
@@ -174,11 +174,11 @@
             fleet.advance(20ms);
             fleet.crashAll();
             fleet.advance(6s);
-            TimePoint back = fleet.now();
-            fleet.sendToAny("popular");
+            TimePoint recovered = fleet.now();
+            fleet.sendToRandomEntry("popular");
             fleet.advance(2s);
             INFO("seed " << seed << ", outage " << outage);
-            CHECK(fleet.servedShare("popular", back) == 1);
+            CHECK(fleet.servedFraction("popular", recovered) == 1);
         }
     }
 }
@@ -188,11 +188,11 @@
 {
     EntryFleet fleet(1, 3, 8, { "north" });
     for (int i = 0; i < 40; ++i) {
-        fleet.send(fleet.random.below(3), deadlyBody);
+        fleet.send(fleet.random.below(3), crashingBody);
         fleet.advance(300ms);
     }
     REQUIRE(fleet.crashes.size() >= 3);
-    CHECK(fleet.arrivalsAfter(deadlyBody, fleet.crashes[2] + knownWithin) <= mostSentLater);
+    CHECK(fleet.attemptsAfter(crashingBody, fleet.crashes[2] + propagationTime) <= maxLaterAttempts);
     for (std::size_t entry = 0; entry < 3; ++entry)
         CHECK(fleet.partsOf(entry).crashing.size() == 1);
     for (std::size_t entry = 3; entry < 6; ++entry)
@@ -206,7 +206,7 @@
     EntryFleet fleet(1, 3, 8, { "north" });
     fleet.send(4, "bound");
     fleet.advance(1s);
-    CHECK(fleet.servedShare("bound") == 1);
+    CHECK(fleet.servedFraction("bound") == 1);
     CHECK(fleet.partsOf(4).crashing.answered() == 0);
     std::size_t atNorth = 0;
     for (std::size_t entry = 0; entry < 3; ++entry)
@@ -218,12 +218,12 @@
 TEST_CASE("a refused request has one more attempt minutes later, and is refused for longer if it still crashes endpoints")
 {
     EntryFleet fleet(3);
-    runWithDeadly(fleet, 8s);
+    runWithCrashingRequest(fleet, 8s);
     std::size_t crashes = fleet.crashes.size();
     REQUIRE(crashes >= 3);
     // Long enough for the refusal to expire at each entry.
     for (int i = 0; i < 8 * 60 * 2; ++i) {
-        fleet.sendToAny(deadlyBody);
+        fleet.sendToRandomEntry(crashingBody);
         fleet.advance(500ms);
     }
     CHECK(fleet.crashes.size() > crashes);
@@ -234,35 +234,35 @@
 TEST_CASE("a refused request is served by every entry once an endpoint has answered it")
 {
     EntryFleet fleet(4);
-    runWithDeadly(fleet, 8s);
+    runWithCrashingRequest(fleet, 8s);
     REQUIRE(fleet.crashes.size() >= 3);
     fleet.isRepaired = true;
     for (int i = 0; i < 8 * 60; ++i) {
-        fleet.sendToAny(deadlyBody);
+        fleet.sendToRandomEntry(crashingBody);
         fleet.advance(500ms);
     }
-    TimePoint late = fleet.now();
+    TimePoint afterRepair = fleet.now();
     for (std::size_t entry = 0; entry < fleet.entries(); ++entry)
-        fleet.send(entry, deadlyBody);
+        fleet.send(entry, crashingBody);
     fleet.advance(2s);
-    CHECK(fleet.servedShare(deadlyBody, late) == 1);
+    CHECK(fleet.servedFraction(crashingBody, afterRepair) == 1);
 }
 
 // Guards against crash reports that grow while a request is refused.
 TEST_CASE("crash reports of an entry are small, and none is sent unless a request crashes endpoints")
 {
-    EntryFleet quiet(1);
+    EntryFleet idle(1);
     for (int i = 0; i < 200; ++i) {
-        quiet.sendToAny("other");
-        quiet.advance(10ms);
+        idle.sendToRandomEntry("other");
+        idle.advance(10ms);
     }
     EntryFleet fleet(1, 20, 9);
-    runWithDeadly(fleet, 6s);
-    std::vector<std::size_t> before = fleet.bytesTold;
+    runWithCrashingRequest(fleet, 6s);
+    std::vector<std::size_t> before = fleet.reportBytesSent;
     fleet.advance(60s);
-    constexpr std::size_t bytesInAMinute = 30'000;
+    constexpr std::size_t maxBytesInAMinute = 30'000;
     for (std::size_t entry = 0; entry < fleet.entries(); ++entry)
-        CHECK(fleet.bytesTold[entry] - before[entry] < bytesInAMinute);
-    for (std::size_t bytes : quiet.bytesTold)
+        CHECK(fleet.reportBytesSent[entry] - before[entry] < maxBytesInAMinute);
+    for (std::size_t bytes : idle.reportBytesSent)
         CHECK(bytes == 0);
 }
--- a/unittests/Ingress/EntryFleet.cpp
+++ b/unittests/Ingress/EntryFleet.cpp
@@ -9,14 +9,14 @@
 using std::chrono::milliseconds;
 
 /// Time from the crash of an endpoint to the removal of its registration.
-static constexpr milliseconds registrationLapse { 1'500 };
-static constexpr milliseconds entryLease { 4'000 };
-static constexpr milliseconds refusedConnection { 2 };
+static constexpr milliseconds registrationRemovalDelay { 1'500 };
+static constexpr milliseconds entryLeaseDuration { 4'000 };
+static constexpr milliseconds connectFailureDelay { 2 };
 static constexpr milliseconds step { 10 };
 static constexpr milliseconds routeTimeout { 4'000 };
-static constexpr milliseconds tellInterval { 100 };
-static constexpr milliseconds insideRegion { 1 };
-static constexpr milliseconds betweenRegions { 55 };
+static constexpr milliseconds crashReportInterval { 100 };
+static constexpr milliseconds latencyInsideRegion { 1 };
+static constexpr milliseconds latencyBetweenRegions { 55 };
 static const std::string regions[] = { "north", "south" };
 
 /// The HTTP client of one entry for requests to endpoints.
@@ -33,9 +33,9 @@
     std::shared_ptr<HttpExchange> send(HttpClientRequest request, HttpClientCallbacks callbacks) override
     {
         auto exchange = std::make_shared<Exchange>();
-        std::shared_ptr<CrashingEndpoint> endpoint = m_fleet.endpointAt(request.server);
+        std::shared_ptr<SimulatedEndpoint> endpoint = m_fleet.endpointAt(request.server);
         if (!endpoint) {
-            m_fleet.scheduler.callAfter(refusedConnection, [exchange, callbacks] { end(*exchange, callbacks, HttpEnd::ConnectFailed); });
+            m_fleet.scheduler.callAfter(connectFailureDelay, [exchange, callbacks] { end(*exchange, callbacks, HttpEnd::ConnectFailed); });
             return exchange;
         }
         exchange->mayHaveReached = true;
@@ -52,11 +52,11 @@
             callbacks.onEnd({ how, exchange.mayHaveReached, "simulated fault" });
     }
 
-    void arrive(CrashingEndpoint& endpoint, const HttpClientRequest& request, const HttpClientCallbacks& callbacks, const std::shared_ptr<Exchange>& exchange)
+    void arrive(SimulatedEndpoint& endpoint, const HttpClientRequest& request, const HttpClientCallbacks& callbacks, const std::shared_ptr<Exchange>& exchange)
     {
         m_fleet.arrivals.push_back({ *request.headers.find("request-id"), request.body, m_entry, m_fleet.now() });
         if (m_fleet.random.unit() < m_fleet.refused) {
-            m_fleet.scheduler.callAfter(insideRegion, [exchange, callbacks] {
+            m_fleet.scheduler.callAfter(latencyInsideRegion, [exchange, callbacks] {
                 if (exchange->isCancelled)
                     return;
                 FakeHttpAnswer answer = catkinwing::refused();
@@ -66,19 +66,19 @@
             return;
         }
         std::uint64_t number = ++m_fleet.m_requests;
-        endpoint.breakOff[number] = [exchange, callbacks] { end(*exchange, callbacks, HttpEnd::NoResponse); };
-        bool isDeadly = request.body == deadlyBody && !m_fleet.isRepaired;
-        std::weak_ptr<CrashingEndpoint> weak = m_fleet.endpointAt(request.server);
-        m_fleet.scheduler.callAfter(isDeadly ? m_fleet.crashesAfter : m_fleet.runsFor, [this, weak, number, isDeadly, exchange, callbacks, request] {
-            std::shared_ptr<CrashingEndpoint> at = weak.lock();
+        endpoint.breakConnection[number] = [exchange, callbacks] { end(*exchange, callbacks, HttpEnd::NoResponse); };
+        bool isCrashing = request.body == crashingBody && !m_fleet.isRepaired;
+        std::weak_ptr<SimulatedEndpoint> weak = m_fleet.endpointAt(request.server);
+        m_fleet.scheduler.callAfter(isCrashing ? m_fleet.crashesAfter : m_fleet.answersAfter, [this, weak, number, isCrashing, exchange, callbacks, request] {
+            std::shared_ptr<SimulatedEndpoint> at = weak.lock();
             if (!at || !at->isUp)
                 return;
-            if (isDeadly) {
+            if (isCrashing) {
                 m_fleet.crashes.push_back(m_fleet.now());
                 m_fleet.crash(at);
                 return;
             }
-            at->breakOff.erase(number);
+            at->breakConnection.erase(number);
             if (exchange->isCancelled)
                 return;
             FakeHttpAnswer answer = answered(request, 200, "fine");
@@ -125,7 +125,7 @@
     void onClosed(std::function<void()> callback) override { m_closed = std::move(callback); }
 
     /// Closes the connection as if the answering process had terminated.
-    void breakOff()
+    void breakConnection()
     {
         std::function<void()> closed = std::move(m_closed);
         if (!m_hasEnded)
@@ -136,11 +136,11 @@
     std::shared_ptr<Client::Exchange> exchange() const { return m_exchange; }
 
 private:
-    void later(std::function<void(const HttpClientCallbacks&)> tell)
+    void later(std::function<void(const HttpClientCallbacks&)> callback)
     {
-        m_scheduler.callAfter(betweenRegions, [exchange = m_exchange, callbacks = m_callbacks, tell = std::move(tell)] {
+        m_scheduler.callAfter(latencyBetweenRegions, [exchange = m_exchange, callbacks = m_callbacks, callback = std::move(callback)] {
             if (!exchange->isCancelled)
-                tell(callbacks);
+                callback(callbacks);
         });
     }
     void end(HttpEnd how)
@@ -169,17 +169,17 @@
     std::shared_ptr<HttpExchange> send(HttpClientRequest request, HttpClientCallbacks callbacks) override
     {
         std::size_t to = m_fleet.m_entryAt.at(request.server);
-        bool isCut = m_fleet.m_areRegionsCut && m_fleet.m_records[m_entry].region != m_fleet.m_records[to].region;
-        if (isCut || !m_fleet.isUp(to)) {
+        bool isPartitioned = m_fleet.m_areRegionsPartitioned && m_fleet.m_records[m_entry].region != m_fleet.m_records[to].region;
+        if (isPartitioned || !m_fleet.isUp(to)) {
             auto exchange = std::make_shared<Client::Exchange>();
-            m_fleet.scheduler.callAfter(refusedConnection, [exchange, callbacks] {
+            m_fleet.scheduler.callAfter(connectFailureDelay, [exchange, callbacks] {
                 if (!exchange->isCancelled)
                     callbacks.onEnd({ HttpEnd::ConnectFailed, false, "simulated fault" });
             });
             return exchange;
         }
         auto responder = std::make_shared<PeerResponder>(m_fleet.scheduler, std::move(callbacks));
-        m_fleet.scheduler.callAfter(betweenRegions, [this, to, responder, request = std::move(request)] { m_fleet.takeForward(to, request, responder); });
+        m_fleet.scheduler.callAfter(latencyBetweenRegions, [this, to, responder, request = std::move(request)] { m_fleet.handleForward(to, request, responder); });
         return responder->exchange();
     }
     void forget(const SocketAddress&) override { }
@@ -222,7 +222,7 @@
     m_route = IngressFixture::unary(RequestKind::Idempotent);
     m_route.timeout = routeTimeout;
     m_route.homeRegions = std::move(homeRegions);
-    configure();
+    applyRoute();
     for (const std::string& region : regions) {
         for (std::size_t i = 0; i < entriesPerRegion; ++i) {
             auto port = static_cast<std::uint16_t>(m_records.size() + 1);
@@ -230,7 +230,7 @@
         }
     }
     m_entries.resize(m_records.size());
-    bytesTold.resize(m_records.size());
+    reportBytesSent.resize(m_records.size());
     for (std::size_t i = 0; i < m_records.size(); ++i)
         makeEntry(i);
     for (const std::string& region : regions) {
@@ -239,7 +239,7 @@
     }
 }
 
-void EntryFleet::configure()
+void EntryFleet::applyRoute()
 {
     ServiceSettings service;
     service.name = "service";
@@ -251,7 +251,7 @@
 void EntryFleet::setAttempts(unsigned attempts)
 {
     m_route.attempts = attempts;
-    configure();
+    applyRoute();
 }
 
 static std::string entryKey(std::size_t index)
@@ -267,7 +267,7 @@
     parts.routes = m_routes;
     parts.startedAt = now();
     parts.crashing.onUrgent([this, index, entry = m_entries[index].get()] {
-        scheduler.callAfter(insideRegion, [this, index, entry] { deliver(index, entry->exchange.tellUrgent(now())); });
+        scheduler.callAfter(latencyInsideRegion, [this, index, entry] { deliver(index, entry->exchange.tellUrgent(now())); });
     });
     for (std::size_t i = 0; i < m_records.size(); ++i)
         parts.entries.put(entryKey(i), m_records[i]);
@@ -300,10 +300,10 @@
     sent.push_back(std::move(request));
 }
 
-void EntryFleet::takeForward(std::size_t entry, const HttpClientRequest& request, const std::shared_ptr<PeerResponder>& responder)
+void EntryFleet::handleForward(std::size_t entry, const HttpClientRequest& request, const std::shared_ptr<PeerResponder>& responder)
 {
     if (!isUp(entry)) {
-        responder->breakOff();
+        responder->breakConnection();
         return;
     }
     RoutedRequest routed;
@@ -319,7 +319,7 @@
     std::make_shared<RoutedRun>(m_entries[entry]->parts, std::move(routed), responder)->begin();
 }
 
-static EndpointRecord recordOf(const CrashingEndpoint& endpoint)
+static EndpointRecord recordOf(const SimulatedEndpoint& endpoint)
 {
     EndpointRecord record;
     record.incarnation = endpoint.incarnation;
@@ -333,14 +333,14 @@
 {
     for (Duration passed { 0 }; passed < span; passed += step) {
         scheduler.advance(step);
-        if (now() >= m_nextTelling) {
-            tell();
-            m_nextTelling = now() + tellInterval;
+        if (now() >= m_nextReportTime) {
+            sendCrashReports();
+            m_nextReportTime = now() + crashReportInterval;
         }
     }
 }
 
-void EntryFleet::tell()
+void EntryFleet::sendCrashReports()
 {
     for (std::size_t from = 0; from < m_entries.size(); ++from) {
         if (isUp(from))
@@ -351,13 +351,13 @@
 void EntryFleet::deliver(std::size_t from, const std::vector<OutgoingDatagram>& datagrams)
 {
     for (const OutgoingDatagram& datagram : datagrams) {
-        bytesTold[from] += datagram.bytes.size();
+        reportBytesSent[from] += datagram.bytes.size();
         std::size_t to = m_entryAt.at(datagram.to);
-        bool isCross = m_records[from].region != m_records[to].region;
-        bool isLost = m_silenced.count(from) > 0 || m_silenced.count(to) > 0 || (isCross && m_areRegionsCut) || random.unit() < lost;
+        bool crossesRegions = m_records[from].region != m_records[to].region;
+        bool isLost = m_droppingEntries.count(from) > 0 || m_droppingEntries.count(to) > 0 || (crossesRegions && m_areRegionsPartitioned) || random.unit() < lostFraction;
         if (isLost)
             continue;
-        scheduler.callAfter(isCross ? betweenRegions : insideRegion, [this, from, to, bytes = datagram.bytes] {
+        scheduler.callAfter(crossesRegions ? latencyBetweenRegions : latencyInsideRegion, [this, from, to, bytes = datagram.bytes] {
             absl::StatusOr<CrashReport> report = decodeCrashReport(bytes);
             assert(report.ok() && "an encoded crash report can be decoded");
             m_entries[to]->exchange.take(m_records[from].peers, *report, now());
@@ -385,9 +385,9 @@
     }
     for (const std::weak_ptr<PeerResponder>& forward : m_entries[entry]->forwards) {
         if (std::shared_ptr<PeerResponder> open = forward.lock())
-            open->breakOff();
+            open->breakConnection();
     }
-    scheduler.callAfter(entryLease, [this, entry] {
+    scheduler.callAfter(entryLeaseDuration, [this, entry] {
         if (!isUp(entry))
             removeRegistration(entry);
     });
@@ -396,7 +396,7 @@
 void EntryFleet::restartEntry(std::size_t entry)
 {
     assert(m_entries[entry]->parts.openRequests == 0 && "only an entry without open requests can be restarted");
-    m_ended.push_back(std::move(m_entries[entry]));
+    m_replacedEntries.push_back(std::move(m_entries[entry]));
     makeEntry(entry);
     for (const auto& other : m_entries) {
         if (other)
@@ -410,8 +410,8 @@
 
 void EntryFleet::startEndpoint(const std::string& region, const SocketAddress& address)
 {
-    auto endpoint = std::make_shared<CrashingEndpoint>();
-    endpoint->incarnation = "e" + std::to_string(++m_starts);
+    auto endpoint = std::make_shared<SimulatedEndpoint>();
+    endpoint->incarnation = "e" + std::to_string(++m_endpointStarts);
     endpoint->region = region;
     endpoint->address = address;
     m_endpoints.push_back(endpoint);
@@ -419,16 +419,16 @@
         entry->parts.endpoints.put(recordOf(*endpoint), now());
 }
 
-void EntryFleet::crash(const std::shared_ptr<CrashingEndpoint>& endpoint)
+void EntryFleet::crash(const std::shared_ptr<SimulatedEndpoint>& endpoint)
 {
     endpoint->isUp = false;
-    for (const auto& [number, breakOff] : std::exchange(endpoint->breakOff, {}))
-        scheduler.callAfter(step / 10, breakOff);
-    scheduler.callAfter(registrationLapse, [this, endpoint] {
+    for (const auto& [number, breakConnection] : std::exchange(endpoint->breakConnection, {}))
+        scheduler.callAfter(step / 10, breakConnection);
+    scheduler.callAfter(registrationRemovalDelay, [this, endpoint] {
         for (const auto& entry : m_entries)
             entry->parts.endpoints.remove(endpoint->incarnation, now());
     });
-    scheduler.callAfter(startsAgainAfter, [this, endpoint] {
+    scheduler.callAfter(restartsAfter, [this, endpoint] {
         m_endpoints.erase(std::find(m_endpoints.begin(), m_endpoints.end(), endpoint));
         startEndpoint(endpoint->region, endpoint->address);
     });
@@ -452,7 +452,7 @@
     }
 }
 
-std::shared_ptr<CrashingEndpoint> EntryFleet::endpointAt(const SocketAddress& address) const
+std::shared_ptr<SimulatedEndpoint> EntryFleet::endpointAt(const SocketAddress& address) const
 {
     for (const auto& endpoint : m_endpoints) {
         if (endpoint->isUp && endpoint->address == address)
@@ -461,12 +461,12 @@
     return nullptr;
 }
 
-std::size_t EntryFleet::arrivalsAfter(const std::string& body, TimePoint time) const
+std::size_t EntryFleet::attemptsAfter(const std::string& body, TimePoint time) const
 {
     return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(), [&](const Arrival& arrival) { return arrival.body == body && arrival.at > time; }));
 }
 
-double EntryFleet::servedShare(const std::string& body, TimePoint from) const
+double EntryFleet::servedFraction(const std::string& body, TimePoint from) const
 {
     std::size_t all = 0;
     std::size_t served = 0;
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -12,16 +12,16 @@
 namespace catkinwing {
 
 /// Body of a request that crashes each endpoint which runs it.
-constexpr const char* deadlyBody = "deadly";
+constexpr const char* crashingBody = "deadly";
 
 /// One incarnation of a simulated endpoint.
-struct CrashingEndpoint {
+struct SimulatedEndpoint {
     std::string incarnation;
     std::string region;
     SocketAddress address;
     bool isUp { true };
     /// Callbacks that end the running requests when the endpoint crashes, by request number.
-    std::map<std::uint64_t, std::function<void()>> breakOff;
+    std::map<std::uint64_t, std::function<void()>> breakConnection;
 };
 
 /// A client request that was sent to an entry.
@@ -49,7 +49,7 @@
 
     /// Sends a client request to an entry.
     void send(std::size_t entry, const std::string& body, const std::string& host = "h");
-    void sendToAny(const std::string& body) { send(random.below(m_entries.size()), body); }
+    void sendToRandomEntry(const std::string& body) { send(random.below(m_entries.size()), body); }
     /// Sets the max number of attempts of a request.
     void setAttempts(unsigned attempts);
     /// Advances the simulated time by \p span in small steps.
@@ -66,37 +66,37 @@
     /// Removes the registration of an entry at all entries.
     void removeRegistration(std::size_t entry);
     /// Starts or ends a network partition between the regions.
-    void cutRegions(bool isCut) { m_areRegionsCut = isCut; }
+    void cutRegions(bool isPartitioned) { m_areRegionsPartitioned = isPartitioned; }
     /// Drops all datagrams to and from the entry.
-    void silence(std::size_t entry) { m_silenced.insert(entry); }
+    void dropDatagrams(std::size_t entry) { m_droppingEntries.insert(entry); }
     /// Fraction of the attempts that endpoints refuse.
     double refused { 0 };
     /// Fraction of the datagrams between entries that are lost.
-    double lost { 0 };
+    double lostFraction { 0 };
     /// Bytes of crash reports that each entry has sent.
-    std::vector<std::size_t> bytesTold;
+    std::vector<std::size_t> reportBytesSent;
 
     std::size_t entries() const { return m_entries.size(); }
     IngressParts& partsOf(std::size_t entry);
     /// Returns the number of attempts with \p body at endpoints after \p time.
-    std::size_t arrivalsAfter(const std::string& body, TimePoint time) const;
+    std::size_t attemptsAfter(const std::string& body, TimePoint time) const;
     /// Returns the fraction of the requests with \p body sent at or after \p from that were
     /// answered with status 200; zero if there are none.
-    double servedShare(const std::string& body, TimePoint from = {}) const;
+    double servedFraction(const std::string& body, TimePoint from = {}) const;
     TimePoint now() const { return scheduler.clock().now(); }
 
     ManualScheduler scheduler;
     Random random;
-    /// Times at which endpoints crashed because of deadlyBody.
+    /// Times at which endpoints crashed because of crashingBody.
     std::vector<TimePoint> crashes;
     std::vector<Arrival> arrivals;
     std::vector<SentRequest> sent;
     /// Time that an endpoint takes to answer a request, time from the start of a request with
-    /// deadlyBody to the crash, and time from a crash to the restart.
-    Duration runsFor { std::chrono::milliseconds(60) };
+    /// crashingBody to the crash, and time from a crash to the restart.
+    Duration answersAfter { std::chrono::milliseconds(60) };
     Duration crashesAfter { std::chrono::milliseconds(250) };
-    Duration startsAgainAfter { std::chrono::milliseconds(3'000) };
-    /// Endpoints answer deadlyBody like any other body.
+    Duration restartsAfter { std::chrono::milliseconds(3'000) };
+    /// Endpoints answer crashingBody like any other body.
     bool isRepaired { false };
 
 private:
@@ -106,28 +106,28 @@
     struct Entry;
 
     void startEndpoint(const std::string& region, const SocketAddress& address);
-    void crash(const std::shared_ptr<CrashingEndpoint>& endpoint);
+    void crash(const std::shared_ptr<SimulatedEndpoint>& endpoint);
     void makeEntry(std::size_t index);
-    void configure();
-    void tell();
+    void applyRoute();
+    void sendCrashReports();
     void deliver(std::size_t from, const std::vector<OutgoingDatagram>& datagrams);
-    void takeForward(std::size_t entry, const HttpClientRequest& request, const std::shared_ptr<PeerResponder>& responder);
-    std::shared_ptr<CrashingEndpoint> endpointAt(const SocketAddress& address) const;
+    void handleForward(std::size_t entry, const HttpClientRequest& request, const std::shared_ptr<PeerResponder>& responder);
+    std::shared_ptr<SimulatedEndpoint> endpointAt(const SocketAddress& address) const;
 
     Dialect m_dialect { testDialect() };
     std::vector<std::unique_ptr<Entry>> m_entries;
     /// Entries that restartEntry() has replaced.
-    std::vector<std::unique_ptr<Entry>> m_ended;
-    std::vector<std::shared_ptr<CrashingEndpoint>> m_endpoints;
-    std::size_t m_starts { 0 };
+    std::vector<std::unique_ptr<Entry>> m_replacedEntries;
+    std::vector<std::shared_ptr<SimulatedEndpoint>> m_endpoints;
+    std::size_t m_endpointStarts { 0 };
     std::uint64_t m_requests { 0 };
     Route m_route;
     std::shared_ptr<const RouteTable> m_routes;
     std::vector<EntryRecord> m_records;
     std::map<SocketAddress, std::size_t> m_entryAt;
-    std::set<std::size_t> m_silenced;
-    bool m_areRegionsCut { false };
-    TimePoint m_nextTelling {};
+    std::set<std::size_t> m_droppingEntries;
+    bool m_areRegionsPartitioned { false };
+    TimePoint m_nextReportTime {};
 };
 
 } // namespace catkinwing
--- a/unittests/Ingress/LoadExchangeTest.cpp
+++ b/unittests/Ingress/LoadExchangeTest.cpp
@@ -38,8 +38,8 @@
 };
 
 /// The entries of a region in two zones and the datagrams between them.
-struct ExchangeWorld {
-    explicit ExchangeWorld(std::size_t count)
+struct SimulatedRegion {
+    explicit SimulatedRegion(std::size_t count)
     {
         std::vector<std::pair<std::string, EntryRecord>> records;
         for (std::size_t i = 0; i < count; ++i) {
@@ -54,7 +54,7 @@
     }
 
     /// Runs one tick of each entry that isn't dead and delivers its datagrams immediately.
-    void round()
+    void runRound()
     {
         now += 100ms;
         for (const auto& entry : entries) {
@@ -69,8 +69,8 @@
     {
         ++from.sent;
         ExchangeEntry& to = *byAddress.at(datagram.to);
-        bool isCut = areZonesCut && from.record.availabilityZone != to.record.availabilityZone;
-        if (isCut || dead.count(to.key) > 0)
+        bool isPartitioned = areZonesPartitioned && from.record.availabilityZone != to.record.availabilityZone;
+        if (isPartitioned || dead.count(to.key) > 0)
             return;
         ++to.received;
         absl::StatusOr<LoadReport> report = decodeLoadReport(datagram.bytes);
@@ -84,13 +84,13 @@
     }
 
     /// Starts a request of each entry at the endpoint.
-    void beginEverywhere()
+    void startRequests()
     {
         for (const auto& entry : entries)
             entry->endpoints.forEach([&](RoutedEndpoint& endpoint) { entry->endpoints.noteBegan(endpoint, now); });
     }
 
-    std::uint32_t knownAt(const ExchangeEntry& entry) const
+    std::uint32_t knownRequests(const ExchangeEntry& entry) const
     {
         return const_cast<ExchangeEntry&>(entry).endpoints.peerLoads().at(entry.hash).requests;
     }
@@ -112,7 +112,7 @@
     std::vector<std::unique_ptr<ExchangeEntry>> entries;
     std::map<SocketAddress, ExchangeEntry*> byAddress;
     std::set<std::string> dead;
-    bool areZonesCut { false };
+    bool areZonesPartitioned { false };
 };
 
 } // namespace
@@ -120,12 +120,12 @@
 TEST_CASE("every entry receives the loads of all others, with two to 300 entries")
 {
     for (std::size_t count : { 2, 7, 12, 13, 30, 100, 300 }) {
-        ExchangeWorld world(count);
-        world.beginEverywhere();
+        SimulatedRegion world(count);
+        world.startRequests();
         for (int i = 0; i < 5; ++i)
-            world.round();
+            world.runRound();
         for (const auto& entry : world.entries)
-            CHECK(world.knownAt(*entry) == count - 1);
+            CHECK(world.knownRequests(*entry) == count - 1);
     }
 }
 
@@ -134,81 +134,81 @@
 TEST_CASE("the datagrams of an entry don't grow with the number of entries of its region")
 {
     for (std::size_t count : { 30, 100, 300, 1'000 }) {
-        ExchangeWorld world(count);
-        world.beginEverywhere();
+        SimulatedRegion world(count);
+        world.startRequests();
         constexpr std::size_t rounds = 3;
         for (std::size_t i = 0; i < rounds; ++i)
-            world.round();
-        std::size_t quiet = 0;
+            world.runRound();
+        std::size_t nonCollectors = 0;
         for (const auto& entry : world.entries) {
             CHECK(entry->sent <= rounds * 120);
             CHECK(entry->received <= rounds * 120);
-            quiet += entry->sent <= rounds * 2 ? 1 : 0;
+            nonCollectors += entry->sent <= rounds * 2 ? 1 : 0;
         }
-        CHECK(quiet + 40 >= count);
+        CHECK(nonCollectors + 40 >= count);
     }
 }
 
 TEST_CASE("loads stay known if one collector is dead, and expire if all collectors are dead")
 {
-    ExchangeWorld probe(100);
-    probe.beginEverywhere();
+    SimulatedRegion probe(100);
+    probe.startRequests();
     std::set<std::string> collectors = probe.collectors();
     REQUIRE(collectors.size() == 4);
-    for (const std::string& gone : collectors) {
-        ExchangeWorld world(100);
-        world.beginEverywhere();
+    for (const std::string& deadCollector : collectors) {
+        SimulatedRegion world(100);
+        world.startRequests();
         for (int i = 0; i < 5; ++i)
-            world.round();
-        world.dead = { gone };
+            world.runRound();
+        world.dead = { deadCollector };
         for (int i = 0; i < 15; ++i)
-            world.round();
+            world.runRound();
         for (const auto& entry : world.entries) {
-            if (entry->key != gone)
-                CHECK(world.knownAt(*entry) == 98);
+            if (entry->key != deadCollector)
+                CHECK(world.knownRequests(*entry) == 98);
         }
     }
-    ExchangeWorld world(100);
-    world.beginEverywhere();
-    world.round();
+    SimulatedRegion world(100);
+    world.startRequests();
+    world.runRound();
     world.dead = collectors;
     for (int i = 0; i < 15; ++i)
-        world.round();
+        world.runRound();
     for (const auto& entry : world.entries) {
         if (collectors.count(entry->key) == 0)
-            CHECK(world.knownAt(*entry) == 0);
+            CHECK(world.knownRequests(*entry) == 0);
     }
 }
 
 TEST_CASE("entries know the loads of their own zone while the zones are partitioned")
 {
-    ExchangeWorld world(100);
-    world.beginEverywhere();
+    SimulatedRegion world(100);
+    world.startRequests();
     for (int i = 0; i < 5; ++i)
-        world.round();
-    world.areZonesCut = true;
+        world.runRound();
+    world.areZonesPartitioned = true;
     for (int i = 0; i < 15; ++i)
-        world.round();
+        world.runRound();
     for (const auto& entry : world.entries)
-        CHECK(world.knownAt(*entry) == 49);
-    world.areZonesCut = false;
+        CHECK(world.knownRequests(*entry) == 49);
+    world.areZonesPartitioned = false;
     for (int i = 0; i < 5; ++i)
-        world.round();
+        world.runRound();
     for (const auto& entry : world.entries)
-        CHECK(world.knownAt(*entry) == 99);
+        CHECK(world.knownRequests(*entry) == 99);
 }
 
 TEST_CASE("a prompt segment that one of 100 entries has sent is known to all")
 {
     for (std::size_t sender : { 0, 1, 57, 99 }) {
-        ExchangeWorld world(100);
+        SimulatedRegion world(100);
         ExchangeEntry& from = *world.entries[sender];
         std::shared_ptr<RoutedEndpoint> none;
         from.endpoints.forEach([&](RoutedEndpoint& endpoint) { from.endpoints.tokensToRead(endpoint, 17'000, 13'000, "part", world.now); });
         ServiceSettings service;
         service.name = "service";
         for (int i = 0; i < 5; ++i)
-            world.round();
+            world.runRound();
         for (const auto& entry : world.entries)
             CHECK(entry->endpoints.waitForHolder(service, "part", world.now));
     }
@@ -216,13 +216,13 @@
 
 TEST_CASE("idle entries send no datagrams")
 {
-    ExchangeWorld world(100);
+    SimulatedRegion world(100);
     for (int i = 0; i < 5; ++i)
-        world.round();
+        world.runRound();
     std::size_t before = 0;
     for (const auto& entry : world.entries)
         before += entry->sent;
-    world.round();
+    world.runRound();
     std::size_t after = 0;
     for (const auto& entry : world.entries)
         after += entry->sent;
