--- a/include/catkinwing/Ingress/LoadExchange.h
+++ b/include/catkinwing/Ingress/LoadExchange.h
@@ -15,7 +15,8 @@
 /// into groups, and each entry reports only to the collectors of its group. A collector
 /// adds up the reports of its group, exchanges group digests with the collectors of the
 /// other groups and sends the region digest to the members of its group. The datagrams
-/// of an entry therefore don't grow with the number of entries.
+/// of an entry therefore don't grow with the number of entries, and those of a collector
+/// grow only with its group.
 class LoadExchange {
 public:
     /// All references must outlive the exchange; \p self is the record of this entry.
--- a/lib/Ingress/CrashExchange.cpp
+++ b/lib/Ingress/CrashExchange.cpp
@@ -25,8 +25,8 @@
 /// covers all entries of a small deployment. With more entries, the same request arrives
 /// less often at each of them.
 static constexpr std::size_t urgentFanout = 24;
-/// Interval in ticks at which every suspected request is sent to one random entry, for
-/// entries that started later or were unreachable.
+/// Interval in ticks at which the notice of each suspected request is sent to one random
+/// entry, for entries that started later or were unreachable.
 static constexpr std::uint64_t suspectSendTicks = 5;
 /// Max number of datagrams to one entry in one call.
 static constexpr std::size_t maxDatagramsPerEntry = 4;
--- a/lib/Ingress/PeerLoads.cpp
+++ b/lib/Ingress/PeerLoads.cpp
@@ -5,8 +5,8 @@
 
 namespace catkinwing {
 
-/// Entries with load report at least five times a second. If a report is older than
-/// this, the following ones were lost or its entry has terminated.
+/// Entries with load send at least five reports a second. If a report is older than this,
+/// the following ones were lost or its entry has terminated.
 static constexpr std::chrono::milliseconds reportLifetime { 1'000 };
 
 // Subtracts by adding the negated value; unsigned arithmetic wraps around.
--- a/unittests/Ingress/CrashingRequestTest.cpp
+++ b/unittests/Ingress/CrashingRequestTest.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// Sends requests to random entries for \p span: another request every 30 ms and the
-/// request that crashes endpoints every 0.1 s to 0.7 s.
+/// Sends requests to random entries for \p span: a harmless request with a new body every
+/// 30 ms, and the request that crashes endpoints every 0.1 s to 0.7 s.
 void runWithCrashingRequest(EntryFleet& fleet, Duration span)
 {
     TimePoint end = fleet.now() + span;
@@ -70,7 +70,7 @@
     for (unsigned seed = 1; seed <= 8; ++seed) {
         EntryFleet fleet(seed);
         fleet.crashesAfter = 100ms;
-        fleet.setAttempts(1);
+        fleet.setMaxAttempts(1);
         for (int i = 0; i < 60; ++i) {
             fleet.sendToRandomEntry(crashingBody);
             fleet.sendToRandomEntry("other-" + std::to_string(i));
--- a/unittests/Ingress/EntryFleet.cpp
+++ b/unittests/Ingress/EntryFleet.cpp
@@ -39,7 +39,7 @@
             return exchange;
         }
         exchange->mayHaveReached = true;
-        arrive(*endpoint, request, callbacks, exchange);
+        handleAttempt(*endpoint, request, callbacks, exchange);
         return exchange;
     }
     void forget(const SocketAddress&) override { }
@@ -52,7 +52,7 @@
             callbacks.onEnd({ how, exchange.mayHaveReached, "simulated fault" });
     }
 
-    void arrive(SimulatedEndpoint& endpoint, const HttpClientRequest& request, const HttpClientCallbacks& callbacks, const std::shared_ptr<Exchange>& exchange)
+    void handleAttempt(SimulatedEndpoint& endpoint, const HttpClientRequest& request, const HttpClientCallbacks& callbacks, const std::shared_ptr<Exchange>& exchange)
     {
         m_fleet.arrivals.push_back({ *request.headers.find("request-id"), request.body, m_entry, m_fleet.now() });
         if (m_fleet.random.unit() < m_fleet.refused) {
@@ -105,11 +105,11 @@
 
     void sendHead(const HttpResponseHead& head) override
     {
-        later([head](const HttpClientCallbacks& to) { to.onHead(head); });
+        callLater([head](const HttpClientCallbacks& to) { to.onHead(head); });
     }
     void write(std::string bytes) override
     {
-        later([bytes](const HttpClientCallbacks& to) { to.onBody(bytes); });
+        callLater([bytes](const HttpClientCallbacks& to) { to.onBody(bytes); });
     }
     void finish() override { end(HttpEnd::Complete); }
     void abort() override { end(HttpEnd::Truncated); }
@@ -136,7 +136,7 @@
     std::shared_ptr<Client::Exchange> exchange() const { return m_exchange; }
 
 private:
-    void later(std::function<void(const HttpClientCallbacks&)> callback)
+    void callLater(std::function<void(const HttpClientCallbacks&)> callback)
     {
         m_scheduler.callAfter(latencyBetweenRegions, [exchange = m_exchange, callbacks = m_callbacks, callback = std::move(callback)] {
             if (!exchange->isCancelled)
@@ -147,7 +147,7 @@
     {
         m_hasEnded = true;
         m_closed = nullptr;
-        later([how](const HttpClientCallbacks& to) { to.onEnd({ how, true, "" }); });
+        callLater([how](const HttpClientCallbacks& to) { to.onEnd({ how, true, "" }); });
     }
 
     Scheduler& m_scheduler;
@@ -248,9 +248,9 @@
         entry->parts.routes = m_routes;
 }
 
-void EntryFleet::setAttempts(unsigned attempts)
+void EntryFleet::setMaxAttempts(unsigned maxAttempts)
 {
-    m_route.attempts = attempts;
+    m_route.attempts = maxAttempts;
     applyRoute();
 }
 
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -51,7 +51,7 @@
     void send(std::size_t entry, const std::string& body, const std::string& host = "h");
     void sendToRandomEntry(const std::string& body) { send(random.below(m_entries.size()), body); }
     /// Sets the max number of attempts of a request.
-    void setAttempts(unsigned attempts);
+    void setMaxAttempts(unsigned maxAttempts);
     /// Advances the simulated time by \p span in small steps.
     void advance(Duration span);
     /// Crashes one running endpoint of \p region; does nothing if there is none.
--- a/unittests/Ingress/LoadExchangeTest.cpp
+++ b/unittests/Ingress/LoadExchangeTest.cpp
@@ -214,7 +214,7 @@
     }
 }
 
-TEST_CASE("idle entries send no datagrams")
+TEST_CASE("idle entries stop sending datagrams")
 {
     SimulatedRegion world(100);
     for (int i = 0; i < 5; ++i)
--- a/unittests/Ingress/RegionOutlooksTest.cpp
+++ b/unittests/Ingress/RegionOutlooksTest.cpp
@@ -42,7 +42,7 @@
     outlooks.noteSent("nowhere", "service", 1'000, now);
 }
 
-TEST_CASE("the estimated wait in a region without endpoints is longer than any timeout")
+TEST_CASE("the estimated wait in a region without endpoints is longer than a minute")
 {
     RegionOutlooks outlooks;
     TimePoint now { 10s };
