--- a/lib/Ingress/PeerLoads.cpp
+++ b/lib/Ingress/PeerLoads.cpp
@@ -5,12 +5,12 @@
 
 namespace catkinwing {
 
-/// Reports come five times a second; one older than this has been followed by
-/// others that were lost, or its entry is gone.
+/// Entries with load send at least five reports a second. If a report is older than this,
+/// the following ones were lost or its entry has terminated.
 static constexpr std::chrono::milliseconds reportLifetime { 1'000 };
 
-// Unsigned sums wrap, so taking away is adding the negative.
-void PeerLoads::add(const LoadReport& report, bool isAdded)
+// Subtracts by adding the negated value; unsigned arithmetic wraps around.
+void PeerLoads::applyToSums(const LoadReport& report, bool isAdded)
 {
     for (const EndpointWorkload& load : report.loads) {
         EndpointWorkload& sum = m_sums.try_emplace(load.endpoint, EndpointWorkload { load.endpoint, 0, 0, 0, 0 }).first->second;
@@ -25,25 +25,25 @@
 
 void PeerLoads::take(LoadReport report, TimePoint now)
 {
-    Heard& heard = m_reports[report.entry];
-    bool isOvertaken = heard.at != TimePoint {} && report.sequence <= heard.report.sequence;
-    if (isOvertaken)
+    ReceivedReport& received = m_reports[report.entry];
+    bool isOutOfOrder = received.at != TimePoint {} && report.sequence <= received.report.sequence;
+    if (isOutOfOrder)
         return;
-    add(heard.report, false);
-    heard.report = std::move(report);
-    heard.at = now;
-    add(heard.report, true);
+    applyToSums(received.report, false);
+    received.report = std::move(report);
+    received.at = now;
+    applyToSums(received.report, true);
 }
 
 void PeerLoads::expire(TimePoint now)
 {
     std::vector<std::string> stale;
-    for (const auto& [entry, heard] : m_reports) {
-        if (now - heard.at > reportLifetime)
+    for (const auto& [entry, received] : m_reports) {
+        if (now - received.at > reportLifetime)
             stale.push_back(entry);
     }
     for (const std::string& entry : stale) {
-        add(m_reports[entry].report, false);
+        applyToSums(m_reports[entry].report, false);
         m_reports.erase(entry);
     }
 }
