--- a/include/catkinwing/Ingress/IngressParts.h
+++ b/include/catkinwing/Ingress/IngressParts.h
@@ -18,11 +18,11 @@
 
 namespace catkinwing {
 
-/// Bounds of sending requests a second time, over all entries together.
+/// Limits of retries, over all entries together.
 struct RetryLimits {
-    /// Retries earned by each request.
+    /// Retries that each request adds to the budget.
     double ratio { 0.2 };
-    /// Retries that may be made beyond that in any window.
+    /// Retries that are allowed beyond the ratio in any window.
     double slack { 50 };
     Duration window { std::chrono::seconds(10) };
 };
@@ -30,11 +30,11 @@
 /// The planned stop of an entry.
 struct PlannedStop {
     TimePoint began;
-    /// What hasn't been answered by then is cut.
+    /// Requests that are unanswered at this time are aborted.
     TimePoint endsBy;
 };
 
-/// What the requests of one entry share. All references outlive the requests.
+/// State shared by the requests of one entry. All references outlive the requests.
 struct IngressParts {
     Scheduler& scheduler;
     Random& random;
@@ -47,22 +47,22 @@
     EndpointTable endpoints;
     EntryTable entries;
     RetryLimits retryLimits;
-    /// This entry's part of the budget of each service.
+    /// This entry's share of the retry budget, by service.
     absl::flat_hash_map<std::string, RetryWindow> retryBudgets;
-    /// How readily each region takes the requests of each service.
+    /// Acceptance of each region, by service.
     absl::flat_hash_map<std::string, RegionPressure> pressures;
-    /// What other regions say of themselves.
+    /// Load reported by other regions.
     RegionOutlooks outlooks;
-    /// How many events the streams of each route have.
+    /// Number of events in a stream, by route.
     absl::flat_hash_map<std::string, StreamLength> streamLengths;
-    /// When refused clients of each service are to come back.
+    /// Retry-after times given to refused clients, by service.
     absl::flat_hash_map<std::string, ReturnSchedule> returns;
-    /// The configuration in force; null before the first one is known.
+    /// The configuration in force; null until the first one is received.
     std::shared_ptr<const RouteTable> routes;
-    /// Present once the entry stops.
+    /// Set when the entry begins to stop.
     std::optional<PlannedStop> stop;
     std::size_t openRequests { 0 };
-    /// Number of the last attempt of any request.
+    /// Number of the latest attempt of any request; attempts are numbered from 1.
     std::uint64_t lastAttempt { 0 };
     CrashingRequests crashing {};
     /// When this entry's process started.
--- a/include/catkinwing/Ingress/RoutedRun.h
+++ b/include/catkinwing/Ingress/RoutedRun.h
@@ -9,33 +9,33 @@
 
 namespace catkinwing {
 
-/// Attempts that the entry that forwards leaves to the one that it forwards to.
+/// Number of attempts that the entry that receives a forwarded request may make.
 constexpr const char* attemptsLeftHeader = "Catkinwing-Attempts-Left";
-/// Says how often the forwarded request may have arrived at endpoints before.
+/// Number of earlier attempts of a forwarded request that may have reached an endpoint.
 constexpr const char* earlierArrivalsHeader = "Catkinwing-Earlier-Arrivals";
 
-/// Says that a refusal holds at every entry and endpoint, for the time that it
-/// tells the client to wait.
+/// Marks a refusal that holds at every entry and endpoint. The value is the
+/// retry-after time in seconds.
 constexpr const char* refusedEverywhereHeader = "Catkinwing-Refused-Everywhere";
 
-/// A client's request as it came in.
+/// A request as received from a client or from another entry.
 struct RoutedRequest {
     HttpRequest http;
     RequestFacts facts;
-    /// Another entry took it from the client; it isn't forwarded again.
+    /// The request was forwarded by another entry and isn't forwarded again.
     bool isForwarded { false };
     TimePoint arrivedAt {};
-    /// Of a forwarded request: attempts that its entry leaves to this one.
+    /// Of a forwarded request: number of attempts that this entry may make.
     absl::optional<unsigned> attemptsLeft;
-    /// Of a forwarded request: how often it may have arrived at endpoints before.
+    /// Of a forwarded request: number of earlier attempts that may have reached an endpoint.
     unsigned earlierArrivals { 0 };
 };
 
-/// Takes what the entry that forwarded the request says of it in its headers.
+/// Reads the headers that a forwarding entry adds into \p request.
 void readForwardHeaders(const HttpHeaders& headers, RoutedRequest& request);
 
-/// The life of one routed request, from its arrival to its final answer. It
-/// keeps itself alive until then.
+/// Runs one routed request from its arrival to its final answer. The object
+/// holds a reference to itself until then.
 class RoutedRun : public std::enable_shared_from_this<RoutedRun> {
 public:
     RoutedRun(IngressParts& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder);
@@ -46,7 +46,7 @@
     void begin();
 
 private:
-    /// The attempt under way.
+    /// The attempt in progress.
     struct Attempt {
         /// Unique within the entry.
         std::uint64_t number { 0 };
@@ -54,27 +54,29 @@
         std::shared_ptr<RoutedEndpoint> endpoint;
         SocketAddress peer;
         std::string region;
-        /// Why it was sent there, for logs.
+        /// Reason for the choice of the target, for logs.
         const char* why { "" };
-        /// Counted as unread at the endpoint until its first bytes.
+        /// Prompt tokens counted as unread at the endpoint until the first bytes of the answer.
         std::int64_t unreadTokens { 0 };
-        /// Prompt tokens that the endpoint had to read when it was sent, its own
-        /// included, in thousands.
+        /// Unread prompt tokens of the endpoint when the attempt was sent, those of
+        /// this request included, in thousands.
         double kilotokensBefore { 0 };
-        /// The endpoint could run it at once.
+        /// The endpoint had a free slot when the attempt was sent, or has no slot limit.
         bool hadFreeSlot { false };
         bool hasBegun { false };
-        /// When its last bytes came.
+        /// When the last event of the stream was received.
         TimePoint heardAt {};
         std::shared_ptr<HttpExchange> exchange;
         TimePoint startedAt {};
         absl::optional<HttpResponseHead> head;
         AnswerFacts facts;
+        /// Outcome stated by the other entry.
         absl::optional<Outcome> statedOutcome;
-        /// Endpoints that may have run it, if another entry says.
+        /// Number of attempts at endpoints that the other entry reports.
         absl::optional<unsigned> statedRuns;
-        /// Of another entry's refusal that holds everywhere: when to come back.
+        /// Retry-after time of a refusal by another entry that holds everywhere.
         absl::optional<std::chrono::milliseconds> statedReturn;
+        /// The answer carries the ID of this request.
         bool isOurs { false };
         bool isEventStream { false };
         std::string body;
@@ -86,14 +88,14 @@
     bool endsBeforeStop() const;
     const RequestFingerprint& fingerprint();
     bool refuseIfCrashing();
-    /// Waits for the outcome of the same request elsewhere where an endpoint has just
-    /// crashed under it.
+    /// Delays the request if an endpoint has just crashed while it ran an identical
+    /// one. Returns whether the request is delayed or has been refused.
     bool waitIfSuspect();
     void beginHold(const CrashingRequests::RecentCrash& crash, const EntryOrder& order, TimePoint time);
     void refuseEverywhere(std::chrono::milliseconds returnAfter, const char* reason = "crashes_endpoints");
     void learnCrash(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict);
-    /// Returns the largest part that the request shares with others, if reading
-    /// it again would matter; null otherwise.
+    /// Returns the largest prompt segment that the request shares with others, or
+    /// null if it is too short to affect routing.
     const PromptPart* sharedPart() const;
     EndpointDemand demandFor(const PromptPart& part) const;
     std::vector<PartRegionOption> regionsFor(const PromptPart& part, const std::optional<std::string>& keeper, const ServiceSettings& settings) const;
@@ -109,8 +111,8 @@
     std::map<std::string, std::size_t> regionsWithRoom(const std::string& service) const;
     RegionPressure& pressure() const { return m_parts.pressures[m_service]; }
     bool sendAway();
-    /// Sends or refuses a request that has not been sent yet by what the regions
-    /// say of themselves; false if it is to be tried here or by asking.
+    /// Forwards or refuses the first attempt by the load that the regions report.
+    /// Returns false if the request has been neither forwarded nor refused.
     bool decideFirst();
     std::optional<Duration> waitAway(const std::string& region) const;
     Duration longestWaitAnywhere() const;
@@ -157,7 +159,7 @@
     std::shared_ptr<const RouteTable> m_routes;
     const Route* m_route { nullptr };
     std::string m_service;
-    /// Computed when it is first asked for.
+    /// Computed on first use.
     absl::optional<RequestFingerprint> m_fingerprint;
     TimePoint m_deadline {};
     TimerId m_deadlineTimer { 0 };
@@ -166,14 +168,15 @@
     unsigned m_runs { 0 };
     unsigned m_refusals { 0 };
     bool m_mayHaveRun { false };
-    /// Attempts that may have reached an endpoint; a further one draws on the budget.
+    /// Attempts that may have reached an endpoint. After the first, each further
+    /// attempt uses the retry budget.
     unsigned m_arrivals { 0 };
     bool m_lastRan { false };
-    /// When it began to wait for the outcome of the same request.
+    /// When the request was first delayed because of a crash under an identical one.
     absl::optional<TimePoint> m_heldSince;
-    /// It would have been sent again if the budget had allowed it.
+    /// The request was not retried only because the retry budget was used up.
     bool m_wasDeniedRetry { false };
-    /// Where the last attempt went and why, for logs.
+    /// Target of the last attempt and the reason for its choice, for logs.
     std::string m_lastPlace;
     const char* m_lastWhy { "" };
     bool m_wasRefusedHere { false };
@@ -185,9 +188,9 @@
     bool m_isDone { false };
     bool m_wasTimedOut { false };
     TimePoint m_firstByteAt {};
-    /// Last whole failure of an endpoint, handed on if nothing better comes.
+    /// Last complete error answer of an endpoint, delivered if no retry succeeds.
     absl::optional<HttpResponseHead> m_failureHead;
-    /// When the client is to come back, where that isn't for the load to say.
+    /// Retry-after time of a refusal that doesn't depend on the load.
     absl::optional<std::chrono::milliseconds> m_returnAfter;
     std::string m_failureBody;
 };
--- a/include/catkinwing/Ingress/RunDecisions.h
+++ b/include/catkinwing/Ingress/RunDecisions.h
@@ -6,39 +6,39 @@
 
 namespace catkinwing {
 
-/// What one attempt of a routed request came to.
+/// Result of one attempt of a routed request.
 enum class AttemptVerdict {
-    /// The endpoint's whole answer is there, whatever its status.
+    /// The endpoint's complete answer was received, whatever its status.
     Answered,
-    /// It was certainly not executed, and will not be.
+    /// The request was certainly not executed and will not be.
     NotRun,
-    /// It may have been executed, and there is no whole answer.
+    /// The request may have been executed, and no complete answer was received.
     Unknown,
 };
 
-/// What is known when an attempt has ended.
+/// Facts known when an attempt has ended.
 struct AttemptEvidence {
     AttemptTarget target { AttemptTarget::Endpoint };
     HttpEnd end { HttpEnd::Complete };
     bool mayHaveReached { false };
-    /// A head came.
+    /// A response head was received.
     bool hasHead { false };
     AnswerFacts answer;
-    /// The answer names the client's attempt.
+    /// The answer carries the ID of the request.
     bool isOurs { false };
-    /// Another entry's statement; only if the answer is that entry's own.
+    /// Outcome stated by another entry; set only if that entry made the answer itself.
     absl::optional<Outcome> statedOutcome;
 };
 
-/// Judges an attempt. Not-run is only what can be proved: no byte left, or the
-/// other side said so in an answer to this very request.
+/// Classifies an attempt. Returns NotRun only if that is certain: no byte was
+/// sent, or the answer states that the request was not executed.
 AttemptVerdict judgeAttempt(const AttemptEvidence& evidence);
 
-/// How far a routed request has come when one of its attempts has failed.
+/// State of a routed request when one of its attempts has failed.
 struct RunProgress {
-    /// It may be executed more than once.
+    /// The request may be executed more than once.
     bool mayRepeat { false };
-    /// A broken answer may go on at another endpoint.
+    /// A broken stream may be resumed at another endpoint.
     bool isResumable { false };
     /// An attempt, the failed one included, may have been executed.
     bool mayHaveRun { false };
@@ -47,21 +47,21 @@
     /// Attempts that were refused without being executed.
     unsigned refusals { 0 };
     unsigned maxRuns { 1 };
-    /// A part of the answer has gone to the client.
+    /// The head of the answer has been sent to the client.
     bool hasDelivered { false };
     bool hasBudget { false };
     Duration timeLeft { 0 };
 };
 
-/// What follows a failed attempt.
+/// Action after a failed attempt.
 enum class NextStep {
-    /// Send it again; also a stream, which then goes on after its last event.
+    /// Retry the request; a stream resumes after its last event.
     SendAgain,
-    /// Answer that it has not been executed and won't be.
+    /// Answer that the request has not been executed and won't be.
     RefuseNotRun,
     /// Answer that the outcome is unknown.
     FailUnknown,
-    /// Cut the answer off visibly.
+    /// Abort the answer so that the client sees that it is incomplete.
     CutOff,
 };
 
--- a/lib/Ingress/RoutedRun.cpp
+++ b/lib/Ingress/RoutedRun.cpp
@@ -12,36 +12,39 @@
 static constexpr int statusNotFound = 404;
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
-/// Part of the retries beyond the ratio that entries give out. The rest is for
-/// entries that start again, and for parts of a cut system that don't know of each other.
+/// Share of the retries beyond the ratio that the entries use. The rest is a reserve
+/// for restarted entries and for partitions in which entries don't see each other.
 static constexpr double slackPart = 0.5;
-/// The same until a window has passed since an entry's start, so that the first
-/// refusals can be tried elsewhere. The process before may have used its own part in
-/// that window.
+/// The same share in the first window after an entry's start, so that its first
+/// refused requests can be retried elsewhere. It is smaller because the previous
+/// process may have used its own share in that window.
 static constexpr double slackPartAtStart = 0.2;
-/// A connection inside the region takes a few milliseconds; one that takes
-/// longer than this goes to an endpoint that is gone or cut off.
+/// A connection inside the region takes a few milliseconds; if one takes longer
+/// than this, the endpoint has stopped or is unreachable.
 static constexpr milliseconds endpointConnectTimeout { 400 };
 /// Regions are some 55 ms apart, so a connection takes 110 ms and more.
 static constexpr milliseconds peerConnectTimeout { 700 };
-/// What a forward adds to the first event: the way there and back.
+/// Round-trip time that forwarding to another region adds to the first event.
 static constexpr milliseconds regionCrossing { 115 };
-/// The exchange's own timeouts come after the run's, which decides.
+/// The timeouts of the HTTP exchange fire this long after the deadline of the
+/// request, so that the deadline decides the outcome.
 static constexpr milliseconds exchangeMargin { 500 };
-/// Told to endpoints less than is left, so that their answer is here in time.
+/// The deadline sent to endpoints is this much shorter than the time left, so that
+/// their answer arrives in time.
 static constexpr milliseconds deadlineMargin { 10 };
-/// A shared part below this many tokens is read in a few milliseconds and
-/// doesn't bind a request to an endpoint.
+/// A shared segment of fewer tokens is read in a few milliseconds and doesn't
+/// affect the choice of the endpoint.
 static constexpr std::int64_t minSharedTokens = 1'000;
-/// Owners in a region that refuses more than this leaves are passed over. Short
-/// requests are refused long before long ones suffer, and a part that is read
-/// elsewhere pushes others out there.
+/// A request goes to a region of unknown load that keeps its shared segment only if
+/// the acceptance of the region is above this. The limit is low: regions refuse short requests long
+/// before long ones suffer, and a segment that is read in another region evicts
+/// others there.
 static constexpr double leastOwnerReadiness = 0.3;
-/// An entry that stops takes every request for this long, since clients still
-/// hold answers of the directory that name it and most requests end long before
-/// their deadline; later it takes those that surely end before it does.
+/// A stopping entry accepts every request for this long, since clients still hold
+/// directory answers that name it and most requests end long before their deadline.
+/// Afterwards it accepts only requests whose deadline is before its end.
 static constexpr milliseconds takeAllWhileStopping { 3'000 };
-/// A route's priorities begin with zero, the most urgent, like an endpoint's.
+/// Priorities of routes and endpoints start at zero, the most urgent.
 static constexpr int leastUrgent = 9;
 
 void readForwardHeaders(const HttpHeaders& headers, RoutedRequest& request)
@@ -132,7 +135,7 @@
     return homes.empty() || std::find(homes.begin(), homes.end(), m_parts.region) != homes.end();
 }
 
-// The last part belongs to the request itself or to its session.
+// The last segment belongs to the request itself or to its session and isn't shared.
 const PromptPart* RoutedRun::sharedPart() const
 {
     const std::vector<PromptPart>& prompt = m_request.facts.prompt;
@@ -175,9 +178,9 @@
     return demand;
 }
 
-// An endpoint here goes first, since it is nearest, unless this region refuses
-// much; then another region; then an endpoint that has failed the request but
-// would run it again.
+// The order of preference is an endpoint of this region, as the nearest, unless the
+// region refuses many requests; then another region; then an endpoint that was
+// tried before, if the last attempt was not refused.
 void RoutedRun::dispatch()
 {
     if (refuseIfCrashing() || waitIfSuspect() || decideFirst() || sendToPart() || sendAway())
@@ -235,7 +238,8 @@
     return choice.verdict == RegionVerdict::Nowhere;
 }
 
-// An endpoint here that is full says that its like probably are.
+// If one endpoint of this region refused the request because it is full, the others
+// are probably full as well.
 bool RoutedRun::sendAway()
 {
     if (m_request.isForwarded || !isAllowedHere())
@@ -265,7 +269,7 @@
     wanted.events = likelyEvents();
     wanted.tried = &m_triedEndpoints;
     wanted.mayBeTried = mayBeTried;
-    // What has run or begun to answer is finished if that is possible at all.
+    // A request that may have run or has begun to answer has no wait limit.
     WaitDemand demand = waitDemand();
     wanted.demand = m_mayHaveRun || m_hasHead ? nullptr : &demand;
     std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(wanted, now(), m_parts.random);
@@ -292,7 +296,8 @@
     return true;
 }
 
-// Regions that may have the request and have not had it, with their endpoints.
+// Returns the other regions that may process the request and haven't been tried, with
+// the number of their usable endpoints.
 std::map<std::string, std::size_t> RoutedRun::otherRegions(const std::string& service) const
 {
     const std::vector<std::string>& homes = m_route->homeRegions;
@@ -306,7 +311,7 @@
     return regions;
 }
 
-// What has run or begun to answer goes to any region.
+// A request that may have run or has begun to answer may go to any region.
 std::map<std::string, std::size_t> RoutedRun::regionsWithRoom(const std::string& service) const
 {
     std::map<std::string, std::size_t> regions = otherRegions(service);
@@ -338,8 +343,8 @@
     return demand;
 }
 
-// What a request with the part would meet in each region that is known and not
-// too busy for it.
+// Returns the regions whose expected wait is known and short enough for a request
+// with the segment, this one included.
 std::vector<PartRegionOption> RoutedRun::regionsFor(const PromptPart& part, const std::optional<std::string>& keeper, const ServiceSettings& settings) const
 {
     Duration longest = longestWaitForOwner(demandFor(part));
@@ -359,8 +364,8 @@
     return options;
 }
 
-// A long shared part is read once for all regions: sending the request to where
-// it lies costs a round trip, which is less than reading it again.
+// A long shared segment is kept in one region: forwarding the request there costs a
+// round trip, which takes less time than reading the segment again.
 bool RoutedRun::sendToPart()
 {
     if (m_request.isForwarded || m_attempts > 0)
@@ -370,7 +375,7 @@
     if (!part || !settings)
         return false;
     std::optional<std::string> keeper = m_parts.endpoints.regionOfPart(m_service, part->id, m_route->homeRegions, now());
-    // A region that says nothing of itself is asked if it doesn't refuse much.
+    // A region without a load report gets the request if its acceptance is high enough.
     bool isUnknown = keeper && *keeper != m_parts.region && !waitAway(*keeper);
     if (isUnknown)
         return pressure().readiness(*keeper, now()) > leastOwnerReadiness && sendToEntryOf(*keeper, "part");
@@ -383,7 +388,7 @@
 bool RoutedRun::sendToEntryOf(const std::string& region, const char* why)
 {
     std::optional<SocketAddress> peer = m_parts.entries.choosePeer(region, now(), m_parts.random);
-    // What may not be processed here has nowhere else to go.
+    // A request that may not be processed here can only be served by such an entry.
     if (!peer && !isAllowedHere())
         peer = m_parts.entries.chooseDepartedPeer(region, now(), m_parts.random);
     m_triedRegions.push_back(region);
@@ -400,7 +405,7 @@
     attempt.peer = *peer;
     m_parts.metrics.count("forwards_to_regions");
     m_parts.outlooks.noteSent(region, m_service, m_request.facts.promptTokens, now());
-    // What is bound to other regions leaves no trace here, not even a hash.
+    // No data of a request that is bound to other regions is kept here, not even a hash.
     const PromptPart* shared = isAllowedHere() ? sharedPart() : nullptr;
     if (shared)
         m_parts.endpoints.noteSentToRegion(region, shared->id, now());
@@ -457,7 +462,8 @@
     listenForGiveUp();
 }
 
-// The endpoint's table may learn that the endpoint is gone before its connection tells.
+// The endpoint table may detect that the endpoint has stopped before the connection
+// fails.
 void RoutedRun::listenForGiveUp()
 {
     if (!m_attempt->endpoint)
@@ -470,7 +476,8 @@
     };
 }
 
-// A silent endpoint may still answer: what could only fail elsewhere stays.
+// An unresponsive endpoint may still answer, so the attempt is abandoned only if the
+// request can be retried.
 void RoutedRun::giveUp(GiveUpReason reason)
 {
     if (reason == GiveUpReason::StartedAgain) {
--- a/lib/Ingress/RoutedRunAnswers.cpp
+++ b/lib/Ingress/RoutedRunAnswers.cpp
@@ -1,4 +1,4 @@
-// What becomes of a routed request's attempts, and its final answer.
+// Handles the results of a routed request's attempts and sends its final answer.
 #include "catkinwing/Ingress/RoutedRun.h"
 
 #include <absl/strings/match.h>
@@ -14,20 +14,20 @@
 static constexpr int statusUnavailable = 503;
 static constexpr int statusGatewayTimeout = 504;
 static constexpr int firstErrorStatus = 500;
-/// Bytes waiting for a slow client beyond which the endpoint is slowed.
+/// Reading from the endpoint pauses when this many bytes wait for a slow client.
 static constexpr std::size_t maxPendingBytes = 128u << 10;
-/// A plain answer is held until it is whole, so that a broken one can be asked
-/// for again or fails with a status. One that is longer than bodies of clients
-/// may be, and this much more, is given up.
+/// An answer that isn't a stream is buffered until it is complete, so that a broken
+/// one can be retried or fails with a status. An answer is abandoned if it exceeds
+/// the maximum body size of client requests by more than this.
 static constexpr std::size_t answerAllowance = 512u << 10;
-/// Clients come back after what they are told up to this part of the time that
-/// they have left; later ones would wait for nothing.
+/// The retry-after time is at most the remaining time of the request divided by
+/// this; after a longer wait the client would have no time left for the retry.
 static constexpr int mostOfTimeLeft = 3;
-/// Before a configuration is known, or without a route, nothing tells when a
-/// client should come back; a start takes about this long.
+/// Retry-after time before a configuration is known and for requests without a
+/// route, where no load estimate exists; a start takes about this long.
 static constexpr milliseconds returnAfterStart { 500 };
 
-/// Another entry's refusal for longer than this isn't believed.
+/// A longer retry-after time stated by another entry is ignored as invalid.
 static constexpr std::chrono::duration<double> longestStatedReturn = std::chrono::hours(2);
 
 static absl::optional<Outcome> statedOutcomeOf(const HttpResponseHead& head)
@@ -36,7 +36,8 @@
     return word ? parseOutcome(*word) : absl::nullopt;
 }
 
-// What the other entry says for this one goes no further.
+// Reads the headers that are meant for this entry and removes them from the answer
+// for the client.
 void RoutedRun::takeStatements(Attempt& attempt)
 {
     HttpHeaders& headers = attempt.head->headers;
@@ -62,8 +63,8 @@
     m_parts.crashing.noteAlive(attempt.endpoint->hash, now());
 }
 
-// What the endpoint says of itself goes before its registration, which may be
-// older by as long as the store is silent.
+// The state that the endpoint reports itself takes precedence over its registration,
+// which may be outdated while the store is unavailable.
 void RoutedRun::learnStatements(const Attempt& attempt) const
 {
     if (!attempt.endpoint || attempt.facts.isOtherIncarnation)
@@ -85,8 +86,8 @@
     attempt.isOurs = attempt.facts.attemptId == m_request.facts.attemptId;
     bool isForeign = !attempt.facts.attemptId.empty() && !attempt.isOurs;
     if (isForeign) {
-        // The answer to this request would be the next on the connection, but
-        // nothing there can be trusted any more.
+        // The answer to this request may come next on the connection, but nothing on
+        // that connection is reliable any more.
         attempt.head.reset();
         abandonAttempt("answer_of_another_request");
         return;
@@ -98,7 +99,7 @@
     attempt.isEventStream = isDeliverable && type && absl::StartsWithIgnoreCase(*type, "text/event-stream");
 }
 
-// Its first bytes show that the endpoint has read the prompt.
+// The first bytes of the answer show that the endpoint has read the prompt.
 void RoutedRun::noteRead(Attempt& attempt)
 {
     if (attempt.endpoint)
@@ -106,8 +107,8 @@
     attempt.unreadTokens = 0;
 }
 
-// The first bytes of an answer say how soon the endpoint answers. Where it had
-// no slot free they say more of the requests before.
+// The time to the first bytes measures the speed of the endpoint only if it had a free
+// slot; otherwise it mostly depends on the requests before.
 void RoutedRun::learnBegin(Attempt& attempt) const
 {
     if (attempt.hasBegun)
@@ -124,7 +125,7 @@
     return predictEvents(m_parts.streamLengths[m_route->name], m_request.facts.maxOutputTokens);
 }
 
-// The attempt no longer counts as work of its endpoint.
+// Removes the attempt from the pending work of its endpoint.
 void RoutedRun::leaveEndpoint(Attempt& attempt)
 {
     noteRead(attempt);
@@ -208,7 +209,7 @@
     return "unknown";
 }
 
-// An entry that doesn't say may have used all the attempts that it had.
+// An entry that doesn't report its number of attempts may have used all of them.
 unsigned RoutedRun::runsOf(const Attempt& attempt) const
 {
     if (attempt.target == AttemptTarget::Endpoint)
@@ -259,8 +260,8 @@
             { "attempt", m_attempts }, { "took_ms", std::chrono::duration_cast<milliseconds>(now() - attempt.startedAt).count() } });
 }
 
-// A failure that an endpoint states is an answer like any other, but where
-// executing it again does no harm, another attempt may do better.
+// An error status of an endpoint is a complete answer, but a request that may be
+// executed again is retried, since another attempt may succeed.
 void RoutedRun::takeAnswer()
 {
     Attempt attempt = std::move(*m_attempt);
@@ -348,7 +349,7 @@
     }
 }
 
-// The entry that forwarded counts the runs against its route's limit.
+// The forwarding entry counts these attempts against the limit of its route.
 HttpResponseHead RoutedRun::withStatements(HttpResponseHead head) const
 {
     if (m_request.isForwarded)
@@ -396,8 +397,8 @@
     finish(status, "completed", "");
 }
 
-// All endpoints of the region together, of which this entry has its part, serve
-// those who come back.
+// Retry-after times are spaced by the work per request, so that clients retry no faster
+// than this entry's share of the region's endpoints can handle.
 milliseconds RoutedRun::returnAfter() const
 {
     if (!m_route)
@@ -410,7 +411,7 @@
     return std::max(m_parts.returns[m_service].book(work, longest, now(), m_parts.random), pause);
 }
 
-// What the system itself answers, always at once and with its outcome.
+// Sends an answer that this entry makes itself, with the outcome of the request.
 void RoutedRun::answerOwn(int status, Outcome outcome, const char* reason)
 {
     if (m_hasHead) {
--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -1,4 +1,5 @@
-// What a request's attempts say of crashes under it, and its wait or refusal for them.
+// Detects endpoint crashes during a request's attempts, and delays or refuses requests
+// that are suspected to cause them.
 #include "catkinwing/Ingress/RoutedRun.h"
 
 #include "catkinwing/Routing/RequestIdentity.h"
@@ -11,10 +12,11 @@
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
 static constexpr int firstErrorStatus = 500;
-/// A request waits this long for the outcome of the same one after a crash under it.
+/// A request waits at most this long for the outcome of an identical one after an
+/// endpoint crashed while running it.
 static constexpr milliseconds longestHold { 400 };
 static constexpr milliseconds holdCheck { 20 };
-/// By then it is mostly known whether the request was to blame.
+/// After this time it is mostly known whether the request caused the crash.
 static constexpr milliseconds returnAfterHold { 1'000 };
 
 const RequestFingerprint& RoutedRun::fingerprint()
@@ -26,8 +28,8 @@
     return *m_fingerprint;
 }
 
-// A request that is bound to other regions is refused there, since nothing of it
-// is known here.
+// A request that is bound to other regions is refused there, since its crashes are
+// not recorded here.
 bool RoutedRun::refuseIfCrashing()
 {
     if (m_parts.crashing.isEmpty() || !isAllowedHere())
@@ -38,7 +40,7 @@
     return left.has_value();
 }
 
-// The time counts over all attempts of the request.
+// The maximum hold time applies to all attempts of the request together.
 void RoutedRun::beginHold(const CrashingRequests::RecentCrash& crash, const EntryOrder& order, TimePoint time)
 {
     m_heldSince = time;
@@ -89,12 +91,12 @@
         answerOwn(statusUnavailable, Outcome::NotRun, reason);
 }
 
-// A whole answer of another incarnation, or no connection, says that the endpoint
-// is gone; a broken one that it may have crashed.
+// An answer of another incarnation or a failed connection shows that the endpoint has
+// stopped. A broken or missing answer shows that it may have crashed.
 void RoutedRun::learnCrash(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict)
 {
     CrashingRequests& crashing = m_parts.crashing;
-    // An answer through another entry is an endpoint's as well.
+    // An answer that another entry relays was also made by an endpoint.
     bool hasSurvived = verdict == AttemptVerdict::Answered && attempt.head->status < firstErrorStatus;
     if (hasSurvived && isAllowedHere())
         crashing.noteSurvived(fingerprint(), now());
--- a/lib/Ingress/RunDecisions.cpp
+++ b/lib/Ingress/RunDecisions.cpp
@@ -2,10 +2,10 @@
 
 namespace catkinwing {
 
-/// Endpoints that refuse because they are full are asked at most this often
-/// for one request: a third refusal says that the service is full.
+/// A request that was refused this often isn't retried: a third refusal indicates
+/// that the whole service is full.
 static constexpr unsigned maxRefusals = 3;
-/// An attempt with less time than this would only fail at its deadline.
+/// An attempt with less time left than this would only fail at its deadline.
 static constexpr std::chrono::milliseconds minTimeForAttempt { 20 };
 
 AttemptVerdict judgeAttempt(const AttemptEvidence& evidence)
--- a/unittests/Ingress/IngressFixture.cpp
+++ b/unittests/Ingress/IngressFixture.cpp
@@ -112,7 +112,7 @@
     ServiceSettings service;
     service.name = "service";
     parts.routes = std::make_shared<const RouteTable>(1, std::vector<Route> { std::move(route) }, std::vector<ServiceSettings> { service }, ClientLimits {});
-    // Requests earn the budget that retries draw on.
+    // The retry budget grows with the number of requests.
     for (int i = 0; i < 50; ++i)
         parts.retryBudgetOf("service").noteRequest(scheduler.clock().now());
 }
--- a/unittests/Ingress/IngressFixture.h
+++ b/unittests/Ingress/IngressFixture.h
@@ -1,4 +1,4 @@
-// One entry's routed requests over fakes, in a dialect of the tests' own.
+// Test fixture: the routed requests of one entry over fake HTTP clients, in a dialect for tests.
 #pragma once
 
 #include "Coordination/FakeHttpClient.h"
@@ -8,31 +8,34 @@
 
 namespace catkinwing {
 
-/// A dialect whose header names say what they hold.
+/// Returns a dialect with descriptive header names, used by tests only.
 Dialect testDialect();
 
-/// An endpoint's answer to \p request.
+/// Returns an endpoint's answer to \p request.
 FakeHttpAnswer answered(const HttpClientRequest& request, int status, std::string body);
-/// An endpoint's refusal that states that nothing was executed.
+/// Returns an endpoint's refusal that states that the request was not executed.
 FakeHttpAnswer refused();
-/// A stream with the events of \p ids, framed as one that has ended.
+/// Returns a complete event stream with the events of \p ids.
 FakeHttpAnswer streamed(const HttpClientRequest& request, const std::vector<int>& ids);
+/// Returns the text of one event of a stream.
 std::string eventText(int id);
 
 class IngressFixture {
 public:
     IngressFixture();
 
-    /// Puts one route in force, and a service that all its requests go to.
+    /// Applies a configuration of one route and the service that all its requests go to.
     void configure(Route route);
     static Route unary(RequestKind kind, unsigned attempts = 2);
     static Route stream(bool isResumable);
     void addEndpoint(const std::string& incarnation, const std::string& zone = "north-a");
     void addEntry(const std::string& name, const std::string& region, int port);
-    /// Starts a request and returns where its answer goes.
+    /// Starts a request and returns the responder that receives its answer.
     std::shared_ptr<FakeResponder> start(HttpHeaders headers = {}, bool isForwarded = false);
+    /// Starts a request and advances the time by 20 s.
     std::shared_ptr<FakeResponder> runToEnd(HttpHeaders headers = {}, bool isForwarded = false);
-    /// Returns the value of a header of the request number \p index to endpoints.
+    /// Returns the value of a header in the request at \p index of those sent to
+    /// endpoints, or an empty string if the header is missing.
     std::string sent(std::size_t index, absl::string_view name) const;
 
     ManualScheduler scheduler;
@@ -43,7 +46,7 @@
     DecisionLog log { scheduler.clock() };
     Dialect dialect;
     IngressParts parts;
-    /// Answers of endpoints, in the order of the requests; the last one stays.
+    /// Answers of endpoints, in the order of the requests. The last one repeats.
     std::vector<std::function<FakeHttpAnswer(const HttpClientRequest&)>> answers;
 
 private:
--- a/unittests/Ingress/RetryBudgetTest.cpp
+++ b/unittests/Ingress/RetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-// What all entries together send again while endpoints refuse.
+// Tests of the retry budget: retries of all entries together while endpoints refuse requests.
 #include "EntryFleet.h"
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// The ten seconds in which most arrivals beyond the first of each request came,
-/// measured by what is allowed there.
+/// The window of ten seconds in which the number of retries exceeds the allowed number
+/// the most. A retry is an arrival at an endpoint after the first of the same request.
 struct WorstWindow {
     std::size_t repeats { 0 };
     double allowed { 0 };
@@ -65,7 +65,7 @@
     return fleet.random.below(fleet.entries());
 }
 
-/// Entries of the first region come first.
+/// Entries of the first region have the lower indices.
 std::size_t anyOfFirstRegion(EntryFleet& fleet)
 {
     return fleet.random.below(fleet.entries() / 2);
@@ -103,9 +103,9 @@
 
 } // namespace
 
-// Guards against entries that spend what they earned from clients who have moved,
-// while those who got the clients earn it once more.
-TEST_CASE("repeats keep to the budget of all requests while clients move to entries elsewhere")
+// Guards against counting the budget twice: entries use the budget of requests from
+// clients that have moved, and the entries that now serve the clients get it again.
+TEST_CASE("retries stay within the budget of all requests while clients move to entries of another region")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
@@ -118,8 +118,8 @@
     }
 }
 
-// Guards against entries that forget with each start what they have spent.
-TEST_CASE("repeats keep to the budget of all requests while entries are killed and start again in turn")
+// Guards against entries that lose the count of used retries with each restart.
+TEST_CASE("retries stay within the budget of all requests while entries are killed and restarted in turn")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
@@ -143,8 +143,9 @@
     }
 }
 
-// Guards against a part of the slack that grows while registrations lapse.
-TEST_CASE("repeats keep to the budget of all requests while regions are cut off and registrations lapse")
+// Guards against an entry's share of the retries beyond the ratio that grows while
+// registrations expire.
+TEST_CASE("retries stay within the budget of all requests while regions are disconnected and registrations expire")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
@@ -159,7 +160,7 @@
     }
 }
 
-// Guards against a bound that is kept by hardly ever sending again.
+// Guards against a limit that is kept only because entries hardly ever retry.
 TEST_CASE("at least half of the budget is used under steady load while endpoints refuse")
 {
     for (double perSecond : { 10.0, 100.0 }) {
--- a/unittests/Ingress/RoutedRunTest.cpp
+++ b/unittests/Ingress/RoutedRunTest.cpp
@@ -34,7 +34,7 @@
     return refused();
 }
 
-TEST_CASE("a request goes to an endpoint by its incarnation and its answer comes back whole")
+TEST_CASE("a request names the incarnation of its endpoint, and the client gets the complete answer")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -49,7 +49,7 @@
     CHECK(fixture.parts.openRequests == 0);
 }
 
-TEST_CASE("before a configuration is known everything is refused as not run, and not as unknown")
+TEST_CASE("requests are refused as not run before a configuration is known")
 {
     IngressFixture fixture;
     auto client = fixture.runToEnd();
@@ -58,7 +58,7 @@
     CHECK(client->head->headers.find("retry-after"));
 }
 
-TEST_CASE("a request without a route is told so")
+TEST_CASE("a request without a route is answered with status 404")
 {
     IngressFixture fixture;
     Route other = IngressFixture::unary(RequestKind::Idempotent);
@@ -67,7 +67,7 @@
     CHECK(fixture.runToEnd()->status() == 404);
 }
 
-TEST_CASE("a non-idempotent request whose answer is lost fails and isn't sent again")
+TEST_CASE("a non-idempotent request whose answer is lost fails and isn't retried")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -80,7 +80,7 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("what certainly did not run goes to another endpoint")
+TEST_CASE("a request that certainly did not run is retried at another endpoint")
 {
     for (auto failure : { unreachable, full }) {
         IngressFixture fixture;
@@ -109,7 +109,7 @@
     CHECK(fixture.endpointClient.requests.size() == 2);
 }
 
-TEST_CASE("an idempotent request is tried again up to its route's attempts")
+TEST_CASE("an idempotent request is retried up to its route's number of attempts")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
@@ -122,7 +122,7 @@
     CHECK(fixture.endpointClient.requests.size() == 2);
 }
 
-TEST_CASE("a failure that the endpoint states is handed on if no attempt does better")
+TEST_CASE("an endpoint's error answer is delivered if no retry succeeds")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
@@ -134,7 +134,7 @@
     CHECK(fixture.endpointClient.requests.size() == 2);
 }
 
-TEST_CASE("a retry needs a token of the budget")
+TEST_CASE("a request isn't retried when the retry budget is used up")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
@@ -146,7 +146,7 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("a refusal right after the start is tried elsewhere")
+TEST_CASE("a request that is refused right after the entry's start is retried at another endpoint")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -157,7 +157,7 @@
     CHECK(fixture.runToEnd()->status() == 200);
 }
 
-TEST_CASE("an answer to another request is never handed on")
+TEST_CASE("an answer to another request is never delivered")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -173,7 +173,7 @@
     CHECK(fixture.endpointClient.exchanges[0]->isCancelled);
 }
 
-TEST_CASE("an address that belongs to another incarnation isn't used again")
+TEST_CASE("an endpoint whose address now belongs to another incarnation isn't used again")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -188,7 +188,7 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("the answer at the route's timeout tells whether the request may have run")
+TEST_CASE("the answer at the route's timeout states whether the request may have run")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -210,7 +210,7 @@
     }
 }
 
-TEST_CASE("an entry that stops takes late only what surely ends before it does")
+TEST_CASE("a stopping entry accepts later requests only if their deadline is before its end")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -230,7 +230,7 @@
     CHECK(fixture.endpointClient.requests.size() == 3);
 }
 
-TEST_CASE("a request bound to another region goes to an entry there that the store turned away")
+TEST_CASE("a request bound to another region goes to an entry there whose registration has been removed")
 {
     IngressFixture fixture;
     Route route = IngressFixture::unary(RequestKind::NonIdempotent);
@@ -244,7 +244,7 @@
     CHECK(fixture.peerClient.requests.size() == 1);
 }
 
-TEST_CASE("a client's own deadline is passed on if it is sooner than the route's")
+TEST_CASE("a client's own deadline is sent to the endpoint if it is earlier than the route's")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -255,7 +255,7 @@
     CHECK(std::stoi(fixture.sent(0, "time-left")) > 250);
 }
 
-TEST_CASE("when the client goes its attempt is cancelled")
+TEST_CASE("the attempt is cancelled when the client disconnects")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent));
@@ -274,7 +274,7 @@
     CHECK(fixture.parts.openRequests == 0);
 }
 
-TEST_CASE("a stream that breaks goes on at another endpoint after its last whole event")
+TEST_CASE("a broken stream resumes at another endpoint after its last complete event")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::stream(true));
@@ -293,7 +293,7 @@
     CHECK(fixture.sent(1, "resume-after") == "2");
 }
 
-TEST_CASE("a stream that can't resume is cut off visibly, and isn't sent again")
+TEST_CASE("a broken stream that can't resume is aborted and isn't retried")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::stream(false));
@@ -310,7 +310,7 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("a stream that ends inside an event isn't whole")
+TEST_CASE("a stream that ends inside an event counts as broken")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::stream(false));
@@ -325,7 +325,7 @@
     CHECK(client->body == eventText(1));
 }
 
-TEST_CASE("a route bound to other regions is forwarded there, and only there")
+TEST_CASE("requests of a route bound to other regions are forwarded there and never run here")
 {
     IngressFixture fixture;
     Route route = IngressFixture::unary(RequestKind::NonIdempotent);
@@ -345,7 +345,7 @@
     CHECK(fixture.peerClient.requests.size() == 1);
 }
 
-TEST_CASE("a long shared part is read in one region, and here if that one can't be reached")
+TEST_CASE("a long shared segment is read in one region, and here if that region is unreachable")
 {
     IngressFixture fixture;
     Route route = IngressFixture::unary(RequestKind::Idempotent);
@@ -373,8 +373,9 @@
         CHECK(fixture.runToEnd({ { "prompt", std::to_string(part) } })->status() == 200);
 }
 
-// Entries tell each other the hashes of parts within a region.
-TEST_CASE("a part that may not be processed here is not told to the entries here")
+// Entries of a region send each other the hashes of shared segments. Guards against
+// sending the hash of a segment that is bound to other regions.
+TEST_CASE("a segment that may not be processed here is not reported to the entries here")
 {
     for (bool isBound : { true, false }) {
         IngressFixture fixture;
@@ -391,7 +392,7 @@
     }
 }
 
-TEST_CASE("runs at another entry's endpoints count against the route's attempts")
+TEST_CASE("attempts at another entry's endpoints count against the route's attempts")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
@@ -409,7 +410,7 @@
     CHECK_FALSE(client->head->headers.find(endpointAttemptsHeader));
 }
 
-TEST_CASE("an entry states its runs to the one that forwarded")
+TEST_CASE("an entry reports its number of attempts to the forwarding entry")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -420,7 +421,7 @@
     CHECK(*client->head->headers.find(endpointAttemptsHeader) == "1");
 }
 
-TEST_CASE("a slow reader slows its endpoint")
+TEST_CASE("reading from an endpoint pauses while the client reads slowly")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::stream(false));
@@ -437,7 +438,7 @@
     client->leave();
 }
 
-TEST_CASE("an attempt at a start that a later one has replaced is over at once, and an idempotent request runs at the new start")
+TEST_CASE("an attempt is abandoned when its endpoint restarts, and an idempotent request is retried at the restarted endpoint")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent));
@@ -461,8 +462,8 @@
 
 namespace {
 
-/// Two endpoints in the north that have \p unread tokens each to read, and an
-/// entry in the south whose region says how long requests wait there.
+/// Two endpoints in the region "north" with \p unread prompt tokens each, and an entry
+/// in "south", a region that reports how long requests wait there.
 struct BusyRegion {
     explicit BusyRegion(std::int64_t unread)
     {
@@ -490,7 +491,7 @@
 
 } // namespace
 
-TEST_CASE("a request that would wait too long in every region is refused at once, as not run, with a time to come back")
+TEST_CASE("a request that would wait too long in every region is refused at once, as not run, with a retry-after time")
 {
     BusyRegion world(60'000);
     world.hearOfSouth(2s);
@@ -505,7 +506,7 @@
     CHECK(world.fixture.peerClient.requests.empty());
 }
 
-TEST_CASE("a request that would wait too long here goes to a region that has room")
+TEST_CASE("a request that would wait too long here is forwarded to a region with free capacity")
 {
     BusyRegion world(60'000);
     world.hearOfSouth(0ms);
@@ -514,7 +515,7 @@
     CHECK(world.fixture.endpointClient.requests.empty());
 }
 
-TEST_CASE("a request stays where endpoints have room, though another region is idle")
+TEST_CASE("a request isn't forwarded while endpoints here have free capacity, even if another region is idle")
 {
     BusyRegion world(1'000);
     world.hearOfSouth(0ms);
@@ -522,7 +523,7 @@
     CHECK(world.fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("a forwarded request is refused where it would wait too long, since its entry knows other places")
+TEST_CASE("a forwarded request is refused if it would wait too long, so that the forwarding entry can try other regions")
 {
     BusyRegion world(60'000);
     auto client = world.fixture.start({}, true);
@@ -531,7 +532,7 @@
     CHECK(world.fixture.endpointClient.requests.empty());
 }
 
-TEST_CASE("a stream that has begun goes on at an endpoint where a new request would wait too long")
+TEST_CASE("a stream that has begun may resume at an endpoint where a new request would wait too long")
 {
     BusyRegion world(60'000);
     Route route = IngressFixture::stream(true);
@@ -552,9 +553,10 @@
     CHECK(world.fixture.sent(1, "resume-after") == "2");
 }
 
-// A dark engine: nothing comes and no connection breaks. Answers of plain services
-// take up to half a second, so that 1.5 s without a byte from the endpoint is no wait.
-TEST_CASE("what may be repeated leaves an endpoint that has fallen silent, and what may not stays")
+// Guards against requests that wait for an unresponsive endpoint until their deadline:
+// the endpoint sends nothing and keeps the connections open. Answers of this service
+// take up to 0.5 s, so 1.5 s without a byte show that the endpoint is unresponsive.
+TEST_CASE("an unresponsive endpoint loses idempotent requests to another endpoint and keeps non-idempotent ones")
 {
     for (RequestKind kind : { RequestKind::Idempotent, RequestKind::NonIdempotent }) {
         IngressFixture fixture;
@@ -575,13 +577,13 @@
         bool isRepeated = kind == RequestKind::Idempotent;
         CHECK(fixture.endpointClient.requests.size() == (isRepeated ? 2u : 1u));
         CHECK((isRepeated ? client->status() == 200 : !client->head));
-        // Its deadline ends what still waits.
+        // The deadline ends a request that still waits.
         fixture.scheduler.advance(10s);
         CHECK(fixture.parts.openRequests == 0);
     }
 }
 
-TEST_CASE("a stream that may resume leaves a silent endpoint after its last event")
+TEST_CASE("a resumable stream moves from an unresponsive endpoint to another one after its last event")
 {
     IngressFixture fixture;
     Route route = IngressFixture::stream(true);
@@ -606,7 +608,7 @@
     CHECK(fixture.sent(1, "resume-after") == "2");
 }
 
-TEST_CASE("an entry that stood still takes no endpoint for silent")
+TEST_CASE("an entry that was paused doesn't treat endpoints as unresponsive")
 {
     IngressFixture fixture;
     Route route = IngressFixture::unary(RequestKind::Idempotent);
@@ -625,8 +627,9 @@
     CHECK(fixture.parts.openRequests == 0);
 }
 
-// Guards against asking region after region for what is refused everywhere.
-TEST_CASE("a refusal that holds everywhere is handed on with its time, and no other region is asked")
+// Guards against forwarding a request to one region after the other when a refusal
+// holds everywhere.
+TEST_CASE("a refusal that holds everywhere is delivered with its retry-after time, and the request isn't forwarded again")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -648,7 +651,7 @@
     CHECK(fixture.parts.pressures["service"].readiness("south", fixture.scheduler.clock().now()) == 1);
 }
 
-TEST_CASE("a request that is refused everywhere says so to the entry that forwarded it")
+TEST_CASE("the refusal of a forwarded request states if it holds everywhere")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 1));
@@ -681,8 +684,9 @@
     return answer;
 }
 
-// Guards against believing an old registration rather than the endpoint itself.
-TEST_CASE("what an endpoint says of its leave holds for that start, also when it is registered anew")
+// Guards against an outdated registration that overrides the state that the endpoint
+// reports itself.
+TEST_CASE("an endpoint that reports that it is leaving gets no requests until its next start, even if it is registered again")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -697,7 +701,7 @@
     fixture.addEndpoint("e2");
     CHECK(fixture.runToEnd()->status() == 200);
     CHECK(fixture.sent(1, "incarnation") == "e2");
-    // Long after, another endpoint may have the name.
+    // After 180 s another endpoint may use the same incarnation name.
     fixture.parts.endpoints.remove("e1", fixture.scheduler.clock().now());
     fixture.parts.endpoints.remove("e2", fixture.scheduler.clock().now());
     fixture.scheduler.advance(180s);
@@ -705,8 +709,8 @@
     CHECK(fixture.runToEnd()->status() == 200);
 }
 
-// Guards against taking what another incarnation says for the word of the one that is meant.
-TEST_CASE("an answer of another incarnation says nothing of a pause of the one that was meant")
+// Guards against applying a pause that one incarnation reports to another one.
+TEST_CASE("a pause in an answer of another incarnation doesn't apply to the chosen endpoint")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
@@ -722,8 +726,8 @@
     fixture.parts.endpoints.forEach([&](RoutedEndpoint& endpoint) { CHECK(endpoint.pausedUntil == TimePoint {}); });
 }
 
-// Guards against requests to endpoints that have asked for none for a while.
-TEST_CASE("endpoints that ask for a pause get nothing until its end, and clients are told when that is")
+// Guards against requests to endpoints that have asked for a pause.
+TEST_CASE("endpoints that ask for a pause get no requests until its end, and refused clients get that time as retry-after time")
 {
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
--- a/unittests/Ingress/RunDecisionsTest.cpp
+++ b/unittests/Ingress/RunDecisionsTest.cpp
@@ -15,7 +15,7 @@
     return evidence;
 }
 
-TEST_CASE("an attempt counts as not run only by proof")
+TEST_CASE("an attempt counts as not run only if no byte was sent or the answer states it")
 {
     AttemptEvidence evidence;
     CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
@@ -28,7 +28,7 @@
     CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
 }
 
-TEST_CASE("an answer that is cut, unsigned or another request's is none")
+TEST_CASE("a truncated answer, one not made by an endpoint and one to another request leave the outcome unknown")
 {
     AttemptEvidence evidence = wholeAnswer();
     evidence.end = HttpEnd::Truncated;
@@ -41,7 +41,7 @@
     CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
 }
 
-TEST_CASE("another entry's statement goes before what the answer looks like")
+TEST_CASE("an outcome stated by another entry takes precedence over the answer itself")
 {
     AttemptEvidence evidence = wholeAnswer();
     evidence.target = AttemptTarget::Entry;
@@ -60,8 +60,8 @@
     return progress;
 }
 
-// Goes through every state that a run can be in.
-TEST_CASE("what may have run is never sent again unless it may be repeated, and never refused as not run")
+// Checks every possible combination of the conditions.
+TEST_CASE("a request that may have run is retried only if it may run more than once, and is never refused as not run")
 {
     for (unsigned bits = 0; bits < 128; ++bits) {
         auto bit = [bits](unsigned number) { return (bits >> number & 1) != 0; };
@@ -91,7 +91,7 @@
     }
 }
 
-TEST_CASE("attempts, refusals and time bound what is sent again")
+TEST_CASE("retries are limited by the number of attempts, the number of refusals and the time left")
 {
     RunProgress progress = freshProgress();
     progress.mayRepeat = true;
