--- a/include/catkinwing/Ingress/IngressParts.h
+++ b/include/catkinwing/Ingress/IngressParts.h
@@ -23,7 +23,7 @@
     /// Retries that each request adds to the budget.
     double ratio { 0.2 };
     /// Retries that are allowed beyond the ratio in any window.
-    double slack { 50 };
+    double allowance { 50 };
     Duration window { std::chrono::seconds(10) };
 };
 
@@ -50,13 +50,13 @@
     /// This entry's share of the retry budget, by service.
     absl::flat_hash_map<std::string, RetryWindow> retryBudgets;
     /// Acceptance of each region, by service.
-    absl::flat_hash_map<std::string, RegionPressure> pressures;
+    absl::flat_hash_map<std::string, RegionPressure> regionAcceptances;
     /// Load reported by other regions.
     RegionOutlooks outlooks;
     /// Number of events in a stream, by route.
     absl::flat_hash_map<std::string, StreamLength> streamLengths;
     /// Retry-after times given to refused clients, by service.
-    absl::flat_hash_map<std::string, ReturnSchedule> returns;
+    absl::flat_hash_map<std::string, ReturnSchedule> retryAfterSchedules;
     /// The configuration in force; null until the first one is received.
     std::shared_ptr<const RouteTable> routes;
     /// Set when the entry begins to stop.
--- a/include/catkinwing/Ingress/RoutedRun.h
+++ b/include/catkinwing/Ingress/RoutedRun.h
@@ -12,7 +12,7 @@
 /// Number of attempts that the entry that receives a forwarded request may make.
 constexpr const char* attemptsLeftHeader = "Catkinwing-Attempts-Left";
 /// Number of earlier attempts of a forwarded request that may have reached an endpoint.
-constexpr const char* earlierArrivalsHeader = "Catkinwing-Earlier-Arrivals";
+constexpr const char* earlierAttemptsHeader = "Catkinwing-Earlier-Arrivals";
 
 /// Marks a refusal that holds at every entry and endpoint. The value is the
 /// retry-after time in seconds.
@@ -28,7 +28,7 @@
     /// Of a forwarded request: number of attempts that this entry may make.
     absl::optional<unsigned> attemptsLeft;
     /// Of a forwarded request: number of earlier attempts that may have reached an endpoint.
-    unsigned earlierArrivals { 0 };
+    unsigned earlierAttempts { 0 };
 };
 
 /// Reads the headers that a forwarding entry adds into \p request.
@@ -60,24 +60,24 @@
         std::int64_t unreadTokens { 0 };
         /// Unread prompt tokens of the endpoint when the attempt was sent, those of
         /// this request included, in thousands.
-        double kilotokensBefore { 0 };
+        double unreadKilotokensAtStart { 0 };
         /// The endpoint had a free slot when the attempt was sent, or has no slot limit.
         bool hadFreeSlot { false };
-        bool hasBegun { false };
+        bool hasAnswerBegun { false };
         /// When the last event of the stream was received.
-        TimePoint heardAt {};
+        TimePoint lastEventAt {};
         std::shared_ptr<HttpExchange> exchange;
         TimePoint startedAt {};
         absl::optional<HttpResponseHead> head;
         AnswerFacts facts;
         /// Outcome stated by the other entry.
-        absl::optional<Outcome> statedOutcome;
+        absl::optional<Outcome> reportedOutcome;
         /// Number of attempts at endpoints that the other entry reports.
-        absl::optional<unsigned> statedRuns;
+        absl::optional<unsigned> reportedRuns;
         /// Retry-after time of a refusal by another entry that holds everywhere.
-        absl::optional<std::chrono::milliseconds> statedReturn;
+        absl::optional<std::chrono::milliseconds> reportedRetryAfter;
         /// The answer carries the ID of this request.
-        bool isOurs { false };
+        bool isForThisRequest { false };
         bool isEventStream { false };
         std::string body;
     };
@@ -85,72 +85,72 @@
     TimePoint now() const { return m_parts.scheduler.clock().now(); }
     std::chrono::milliseconds timeLeft() const;
     bool isAllowedHere() const;
-    bool endsBeforeStop() const;
+    bool canRunBeforeStop() const;
     const RequestFingerprint& fingerprint();
     bool refuseIfCrashing();
     /// Delays the request if an endpoint has just crashed while it ran an identical
     /// one. Returns whether the request is delayed or has been refused.
-    bool waitIfSuspect();
+    bool holdIfSuspect();
     void beginHold(const CrashingRequests::RecentCrash& crash, const EntryOrder& order, TimePoint time);
-    void refuseEverywhere(std::chrono::milliseconds returnAfter, const char* reason = "crashes_endpoints");
-    void learnCrash(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict);
+    void refuseEverywhere(std::chrono::milliseconds retryAfter, const char* reason = "crashes_endpoints");
+    void recordCrashEvidence(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict);
     /// Returns the largest prompt segment that the request shares with others, or
     /// null if it is too short to affect routing.
-    const PromptPart* sharedPart() const;
-    EndpointDemand demandFor(const PromptPart& part) const;
-    std::vector<PartRegionOption> regionsFor(const PromptPart& part, const std::optional<std::string>& keeper, const ServiceSettings& settings) const;
+    const PromptPart* sharedSegment() const;
+    EndpointDemand demandFor(const PromptPart& segment) const;
+    std::vector<PartRegionOption> regionOptionsFor(const PromptPart& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const;
     const std::string& pickService() const;
     WaitDemand waitDemand() const;
 
     void dispatch();
     bool sendToEndpoint(const std::string& service, bool mayBeTried);
     bool sendToRegion(const std::string& service, const char* why);
-    bool sendToPart();
-    bool sendToEntryOf(const std::string& region, const char* why);
-    std::map<std::string, std::size_t> otherRegions(const std::string& service) const;
-    std::map<std::string, std::size_t> regionsWithRoom(const std::string& service) const;
-    RegionPressure& pressure() const { return m_parts.pressures[m_service]; }
-    bool sendAway();
+    bool sendToSegmentRegion();
+    bool sendToEntryIn(const std::string& region, const char* why);
+    std::map<std::string, std::size_t> untriedRegions(const std::string& service) const;
+    std::map<std::string, std::size_t> regionsWithCapacity(const std::string& service) const;
+    RegionPressure& regionAcceptance() const { return m_parts.regionAcceptances[m_service]; }
+    bool forwardIfOverloaded();
     /// Forwards or refuses the first attempt by the load that the regions report.
     /// Returns false if the request has been neither forwarded nor refused.
-    bool decideFirst();
-    std::optional<Duration> waitAway(const std::string& region) const;
-    Duration longestWaitAnywhere() const;
-    static void noteRead(Attempt& attempt);
-    static void leaveEndpoint(Attempt& attempt);
-    void learnBegin(Attempt& attempt) const;
-    double likelyEvents() const;
-    std::chrono::milliseconds returnAfter() const;
+    bool routeFirstAttempt();
+    std::optional<Duration> expectedWaitIn(const std::string& region) const;
+    Duration maxWait() const;
+    static void clearUnreadTokens(Attempt& attempt);
+    static void releaseEndpoint(Attempt& attempt);
+    void recordAnswerStart(Attempt& attempt) const;
+    double expectedEvents() const;
+    std::chrono::milliseconds retryAfter() const;
     void startAttempt(Attempt attempt, HttpClientRequest request);
-    void listenForGiveUp();
-    void giveUp(GiveUpReason reason);
+    void registerFailureCallback();
+    void onEndpointFailure(GiveUpReason reason);
     RunProgress progress();
     RetryOrder retryOrder() const;
     HttpClientRequest makeRequest(const SocketAddress& server, AttemptFacts facts) const;
 
-    void takeStatements(Attempt& attempt);
+    void extractEntryHeaders(Attempt& attempt);
     unsigned runsOf(const Attempt& attempt) const;
-    void noteHeard(const Attempt& attempt) const;
-    void learnStatements(const Attempt& attempt) const;
+    void recordEndpointActivity(const Attempt& attempt) const;
+    void recordEndpointState(const Attempt& attempt) const;
     void onHead(const HttpResponseHead& head);
     void onBody(absl::string_view bytes);
     void onEnd(const HttpResult& result);
     void abandonAttempt(const char* reason);
     void concludeAttempt(HttpEnd end, bool mayHaveReached, const std::string& detail);
-    void settleAttempt(AttemptVerdict verdict, const std::string& detail);
-    void takeAnswer();
-    void takeFailure(AttemptVerdict verdict);
+    void recordAttemptResult(AttemptVerdict verdict, const std::string& detail);
+    void handleAnswer();
+    void handleFailure(AttemptVerdict verdict);
     NextStep decideNextStep(AttemptVerdict verdict);
 
-    HttpResponseHead withStatements(HttpResponseHead head) const;
+    HttpResponseHead withAttemptsHeader(HttpResponseHead head) const;
     void deliverHead(const HttpResponseHead& head);
     void deliver(std::string bytes);
-    void relieveBackPressure();
-    void answerWhole(const HttpResponseHead& head, std::string body);
-    void answerOwn(int status, Outcome outcome, const char* reason);
-    void cutOff(const char* reason);
-    void deadlinePassed();
-    void clientGone();
+    void resumeReading();
+    void sendAnswer(const HttpResponseHead& head, std::string body);
+    void sendOwnAnswer(int status, Outcome outcome, const char* reason);
+    void abortAnswer(const char* reason);
+    void onDeadline();
+    void onClientClosed();
     void finish(int status, const char* outcome, const char* reason);
 
     IngressParts& m_parts;
@@ -170,14 +170,14 @@
     bool m_mayHaveRun { false };
     /// Attempts that may have reached an endpoint. After the first, each further
     /// attempt uses the retry budget.
-    unsigned m_arrivals { 0 };
-    bool m_lastRan { false };
+    unsigned m_reachedAttempts { 0 };
+    bool m_lastMayHaveRun { false };
     /// When the request was first delayed because of a crash under an identical one.
     absl::optional<TimePoint> m_heldSince;
     /// The request was not retried only because the retry budget was used up.
     bool m_wasDeniedRetry { false };
     /// Target of the last attempt and the reason for its choice, for logs.
-    std::string m_lastPlace;
+    std::string m_lastTarget;
     const char* m_lastWhy { "" };
     bool m_wasRefusedHere { false };
     std::vector<std::string> m_triedEndpoints;
@@ -191,7 +191,7 @@
     /// Last complete error answer of an endpoint, delivered if no retry succeeds.
     absl::optional<HttpResponseHead> m_failureHead;
     /// Retry-after time of a refusal that doesn't depend on the load.
-    absl::optional<std::chrono::milliseconds> m_returnAfter;
+    absl::optional<std::chrono::milliseconds> m_retryAfter;
     std::string m_failureBody;
 };
 
--- a/include/catkinwing/Ingress/RunDecisions.h
+++ b/include/catkinwing/Ingress/RunDecisions.h
@@ -25,14 +25,14 @@
     bool hasHead { false };
     AnswerFacts answer;
     /// The answer carries the ID of the request.
-    bool isOurs { false };
+    bool isForThisRequest { false };
     /// Outcome stated by another entry; set only if that entry made the answer itself.
-    absl::optional<Outcome> statedOutcome;
+    absl::optional<Outcome> reportedOutcome;
 };
 
 /// Classifies an attempt. Returns NotRun only if that is certain: no byte was
 /// sent, or the answer states that the request was not executed.
-AttemptVerdict judgeAttempt(const AttemptEvidence& evidence);
+AttemptVerdict classifyAttempt(const AttemptEvidence& evidence);
 
 /// State of a routed request when one of its attempts has failed.
 struct RunProgress {
@@ -56,13 +56,13 @@
 /// Action after a failed attempt.
 enum class NextStep {
     /// Retry the request; a stream resumes after its last event.
-    SendAgain,
+    Retry,
     /// Answer that the request has not been executed and won't be.
     RefuseNotRun,
     /// Answer that the outcome is unknown.
     FailUnknown,
     /// Abort the answer so that the client sees that it is incomplete.
-    CutOff,
+    Abort,
 };
 
 NextStep decideNext(AttemptVerdict verdict, const RunProgress& progress);
--- a/lib/Ingress/RoutedRun.cpp
+++ b/lib/Ingress/RoutedRun.cpp
@@ -14,18 +14,18 @@
 static constexpr int statusUnavailable = 503;
 /// Share of the retries beyond the ratio that the entries use. The rest is a reserve
 /// for restarted entries and for partitions in which entries don't see each other.
-static constexpr double slackPart = 0.5;
+static constexpr double allowanceShare = 0.5;
 /// The same share in the first window after an entry's start, so that its first
 /// refused requests can be retried elsewhere. It is smaller because the previous
 /// process may have used its own share in that window.
-static constexpr double slackPartAtStart = 0.2;
+static constexpr double allowanceShareAtStart = 0.2;
 /// A connection inside the region takes a few milliseconds; if one takes longer
 /// than this, the endpoint has stopped or is unreachable.
 static constexpr milliseconds endpointConnectTimeout { 400 };
 /// Regions are some 55 ms apart, so a connection takes 110 ms and more.
 static constexpr milliseconds peerConnectTimeout { 700 };
 /// Round-trip time that forwarding to another region adds to the first event.
-static constexpr milliseconds regionCrossing { 115 };
+static constexpr milliseconds regionRoundTrip { 115 };
 /// The timeouts of the HTTP exchange fire this long after the deadline of the
 /// request, so that the deadline decides the outcome.
 static constexpr milliseconds exchangeMargin { 500 };
@@ -36,16 +36,16 @@
 /// affect the choice of the endpoint.
 static constexpr std::int64_t minSharedTokens = 1'000;
 /// A request goes to a region of unknown load that keeps its shared segment only if
-/// the acceptance of the region is above this. The limit is low: regions refuse short requests long
-/// before long ones suffer, and a segment that is read in another region evicts
-/// others there.
-static constexpr double leastOwnerReadiness = 0.3;
+/// the acceptance of the region is above this. The limit is low because a region
+/// refuses short requests long before long ones are affected, and because a segment
+/// that is read in another region evicts others there.
+static constexpr double minOwnerAcceptance = 0.3;
 /// A stopping entry accepts every request for this long, since clients still hold
 /// directory answers that name it and most requests end long before their deadline.
-/// Afterwards it accepts only requests whose deadline is before its end.
-static constexpr milliseconds takeAllWhileStopping { 3'000 };
+/// Afterwards it accepts only requests whose deadline is no later than its end.
+static constexpr milliseconds acceptAllWhileStopping { 3'000 };
 /// Priorities of routes and endpoints start at zero, the most urgent.
-static constexpr int leastUrgent = 9;
+static constexpr int leastUrgentPriority = 9;
 
 void readForwardHeaders(const HttpHeaders& headers, RoutedRequest& request)
 {
@@ -53,21 +53,21 @@
     const std::string* text = headers.find(attemptsLeftHeader);
     if (text && absl::SimpleAtoi(*text, &attemptsLeft))
         request.attemptsLeft = attemptsLeft;
-    text = headers.find(earlierArrivalsHeader);
-    if (text && !absl::SimpleAtoi(*text, &request.earlierArrivals))
-        request.earlierArrivals = 0;
+    text = headers.find(earlierAttemptsHeader);
+    if (text && !absl::SimpleAtoi(*text, &request.earlierAttempts))
+        request.earlierAttempts = 0;
 }
 
 RetryWindow& IngressParts::retryBudgetOf(const std::string& service)
 {
     TimePoint now = scheduler.clock().now();
-    double part = now - startedAt < retryLimits.window ? slackPartAtStart : slackPart;
-    std::size_t sharers = std::max<std::size_t>(entries.recentSize(now), 1);
+    double share = now - startedAt < retryLimits.window ? allowanceShareAtStart : allowanceShare;
+    std::size_t entryCount = std::max<std::size_t>(entries.recentSize(now), 1);
     auto found = retryBudgets.find(service);
     if (found == retryBudgets.end())
         found = retryBudgets.emplace(service, RetryWindow(random.unit())).first;
     RetryWindow& budget = found->second;
-    budget.setAllowance({ retryLimits.ratio, retryLimits.slack * part / static_cast<double>(sharers), retryLimits.window });
+    budget.setAllowance({ retryLimits.ratio, retryLimits.allowance * share / static_cast<double>(entryCount), retryLimits.window });
     return budget;
 }
 
@@ -90,26 +90,26 @@
     auto self = shared_from_this();
     m_routes = m_parts.routes;
     if (!m_routes) {
-        answerOwn(statusUnavailable, Outcome::NotRun, "no_configuration");
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "no_configuration");
         return;
     }
     m_route = m_routes->find(m_request.facts.host, m_request.http.path);
     if (!m_route) {
-        answerOwn(statusNotFound, Outcome::NotRun, "no_route");
+        sendOwnAnswer(statusNotFound, Outcome::NotRun, "no_route");
         return;
     }
     milliseconds allowed = m_route->timeout;
     if (m_request.facts.timeLeft)
         allowed = std::min(allowed, *m_request.facts.timeLeft);
     m_deadline = m_request.arrivedAt + allowed;
-    if (!endsBeforeStop()) {
-        answerOwn(statusUnavailable, Outcome::NotRun, "stopping");
+    if (!canRunBeforeStop()) {
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "stopping");
         return;
     }
-    m_deadlineTimer = m_parts.scheduler.callAfter(m_deadline - now(), [self] { self->deadlinePassed(); });
-    m_responder->onClosed([self] { self->clientGone(); });
+    m_deadlineTimer = m_parts.scheduler.callAfter(m_deadline - now(), [self] { self->onDeadline(); });
+    m_responder->onClosed([self] { self->onClientClosed(); });
     if (!m_responder->isOpen()) {
-        clientGone();
+        onClientClosed();
         return;
     }
     m_service = pickService();
@@ -123,10 +123,10 @@
     return std::chrono::duration_cast<milliseconds>(m_deadline - now());
 }
 
-bool RoutedRun::endsBeforeStop() const
+bool RoutedRun::canRunBeforeStop() const
 {
     const std::optional<PlannedStop>& stop = m_parts.stop;
-    return !stop || m_request.arrivedAt - stop->began <= takeAllWhileStopping || m_deadline <= stop->endsBy;
+    return !stop || m_request.arrivedAt - stop->began <= acceptAllWhileStopping || m_deadline <= stop->endsBy;
 }
 
 bool RoutedRun::isAllowedHere() const
@@ -136,7 +136,7 @@
 }
 
 // The last segment belongs to the request itself or to its session and isn't shared.
-const PromptPart* RoutedRun::sharedPart() const
+const PromptPart* RoutedRun::sharedSegment() const
 {
     const std::vector<PromptPart>& prompt = m_request.facts.prompt;
     if (!m_route->hasPromptAffinity || prompt.size() < 2)
@@ -180,80 +180,80 @@
 
 // The order of preference is an endpoint of this region, as the nearest, unless the
 // region refuses many requests; then another region; then an endpoint that was
-// tried before, if the last attempt was not refused.
+// tried before, if the last attempt may have run.
 void RoutedRun::dispatch()
 {
-    if (refuseIfCrashing() || waitIfSuspect() || decideFirst() || sendToPart() || sendAway())
+    if (refuseIfCrashing() || holdIfSuspect() || routeFirstAttempt() || sendToSegmentRegion() || forwardIfOverloaded())
         return;
     if (isAllowedHere() && sendToEndpoint(m_service, false))
         return;
     if (!m_request.isForwarded && sendToRegion(m_service, isAllowedHere() ? "no_endpoint_here" : "homes"))
         return;
-    if (m_lastRan && isAllowedHere() && sendToEndpoint(m_service, true))
+    if (m_lastMayHaveRun && isAllowedHere() && sendToEndpoint(m_service, true))
         return;
     if (m_failureHead) {
-        answerWhole(*m_failureHead, std::move(m_failureBody));
+        sendAnswer(*m_failureHead, std::move(m_failureBody));
         return;
     }
     if (m_mayHaveRun)
-        answerOwn(statusBadGateway, Outcome::Unknown, "no_endpoint_for_retry");
+        sendOwnAnswer(statusBadGateway, Outcome::Unknown, "no_endpoint_for_retry");
     else
-        answerOwn(statusUnavailable, Outcome::NotRun, "no_endpoint");
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "no_endpoint");
 }
 
-Duration RoutedRun::longestWaitAnywhere() const
+Duration RoutedRun::maxWait() const
 {
     return longestWait(waitDemand(), idleFirstByte(usualAnswers()));
 }
 
-std::optional<Duration> RoutedRun::waitAway(const std::string& region) const
+std::optional<Duration> RoutedRun::expectedWaitIn(const std::string& region) const
 {
     return m_parts.outlooks.waitIn(region, m_service, now());
 }
 
-bool RoutedRun::decideFirst()
+bool RoutedRun::routeFirstAttempt()
 {
     const ServiceSettings* settings = m_routes->findService(m_service);
     bool isFirst = m_attempts == 0 && !m_request.isForwarded;
     if (!isFirst || !settings)
         return false;
-    auto lastsAt = [events = likelyEvents()](Duration perEvent) { return std::chrono::duration_cast<Duration>(perEvent * events); };
+    auto durationAt = [events = expectedEvents()](Duration perEvent) { return std::chrono::duration_cast<Duration>(perEvent * events); };
     RegionDemand demand;
-    demand.longestWait = longestWaitAnywhere();
+    demand.longestWait = maxWait();
     if (isAllowedHere()) {
         ServiceOutlook here = m_parts.endpoints.outlook(*settings, now());
         if (here.endpoints > 0)
             demand.waitHere = here.wait;
-        demand.lastsHere = lastsAt(here.perEvent);
+        demand.lastsHere = durationAt(here.perEvent);
         demand.mayAskHere = m_parts.endpoints.usableByRegion(m_service, now()).count(m_parts.region) > 0;
     }
     std::vector<RegionOption> others;
-    for (const auto& [region, endpoints] : otherRegions(m_service))
-        others.push_back({ region, waitAway(region), regionCrossing, lastsAt(m_parts.outlooks.timePerEventIn(region, m_service)) });
+    for (const auto& [region, endpoints] : untriedRegions(m_service))
+        others.push_back({ region, expectedWaitIn(region), regionRoundTrip, durationAt(m_parts.outlooks.timePerEventIn(region, m_service)) });
     RegionChoice choice = chooseRegion(demand, others, m_parts.random);
     if (choice.verdict == RegionVerdict::Away)
-        return !sharedPart() && sendToEntryOf(choice.region, "shorter_wait");
+        return !sharedSegment() && sendToEntryIn(choice.region, "shorter_wait");
     if (choice.verdict == RegionVerdict::Nowhere)
-        answerOwn(statusUnavailable, Outcome::NotRun, "waits_too_long_everywhere");
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "waits_too_long_everywhere");
     return choice.verdict == RegionVerdict::Nowhere;
 }
 
 // If one endpoint of this region refused the request because it is full, the others
 // are probably full as well.
-bool RoutedRun::sendAway()
+bool RoutedRun::forwardIfOverloaded()
 {
     if (m_request.isForwarded || !isAllowedHere())
         return false;
     bool isFirst = m_attempts == 0;
-    bool shouldGo = m_wasRefusedHere || (isFirst && shouldSpill(pressure(), m_parts.region, otherRegions(m_service), now(), m_parts.random));
-    return shouldGo && sendToRegion(m_service, m_wasRefusedHere ? "refused_here" : "region_refuses");
+    bool shouldForward = m_wasRefusedHere || (isFirst && shouldSpill(regionAcceptance(), m_parts.region, untriedRegions(m_service), now(), m_parts.random));
+    return shouldForward && sendToRegion(m_service, m_wasRefusedHere ? "refused_here" : "region_refuses");
 }
 
-static const char* whyHere(bool isSecondTime, bool hasSharedPart)
+static const char* endpointChoiceReason(bool isRetry, bool hasSharedSegment)
 {
-    if (isSecondTime)
+    if (isRetry)
         return "only_endpoint_left";
-    return hasSharedPart ? "shared_part" : "least_work_of_two";
+    return hasSharedSegment ? "shared_part" : "least_work_of_two";
 }
 
 bool RoutedRun::sendToEndpoint(const std::string& service, bool mayBeTried)
@@ -261,44 +261,44 @@
     const ServiceSettings* settings = m_routes->findService(service);
     if (!settings)
         return false;
-    EndpointRequest wanted;
-    wanted.service = settings;
-    const PromptPart* shared = sharedPart();
-    wanted.sharedPart = shared ? shared->id : std::string();
-    wanted.sharedTokens = shared ? shared->tokens : 0;
-    wanted.events = likelyEvents();
-    wanted.tried = &m_triedEndpoints;
-    wanted.mayBeTried = mayBeTried;
+    EndpointRequest endpointRequest;
+    endpointRequest.service = settings;
+    const PromptPart* shared = sharedSegment();
+    endpointRequest.sharedPart = shared ? shared->id : std::string();
+    endpointRequest.sharedTokens = shared ? shared->tokens : 0;
+    endpointRequest.events = expectedEvents();
+    endpointRequest.tried = &m_triedEndpoints;
+    endpointRequest.mayBeTried = mayBeTried;
     // A request that may have run or has begun to answer has no wait limit.
     WaitDemand demand = waitDemand();
-    wanted.demand = m_mayHaveRun || m_hasHead ? nullptr : &demand;
-    std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(wanted, now(), m_parts.random);
+    endpointRequest.demand = m_mayHaveRun || m_hasHead ? nullptr : &demand;
+    std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(endpointRequest, now(), m_parts.random);
     if (!endpoint)
         return false;
     m_triedEndpoints.push_back(endpoint->record.incarnation);
     AttemptFacts facts;
     facts.incarnation = endpoint->record.incarnation;
-    facts.urgency = std::clamp(m_route->priority, 0, leastUrgent);
+    facts.urgency = std::clamp(m_route->priority, 0, leastUrgentPriority);
     HttpClientRequest request = makeRequest(endpoint->record.address, std::move(facts));
     request.connectTimeout = endpointConnectTimeout;
     Attempt attempt;
     attempt.target = AttemptTarget::Endpoint;
     attempt.region = m_parts.region;
-    attempt.why = whyHere(mayBeTried, shared != nullptr);
+    attempt.why = endpointChoiceReason(mayBeTried, shared != nullptr);
     attempt.endpoint = std::move(endpoint);
     unsigned slots = attempt.endpoint->record.slots > 0 ? attempt.endpoint->record.slots : settings->slots;
     attempt.hadFreeSlot = slots == 0 || m_parts.endpoints.workOf(*attempt.endpoint).requests < slots;
     m_parts.endpoints.noteBegan(*attempt.endpoint, now());
-    attempt.unreadTokens = m_parts.endpoints.tokensToRead(*attempt.endpoint, m_request.facts.promptTokens, shared ? shared->tokens : 0, wanted.sharedPart, now());
+    attempt.unreadTokens = m_parts.endpoints.tokensToRead(*attempt.endpoint, m_request.facts.promptTokens, shared ? shared->tokens : 0, endpointRequest.sharedPart, now());
     attempt.endpoint->unreadTokens += attempt.unreadTokens;
-    attempt.kilotokensBefore = m_parts.endpoints.workOf(*attempt.endpoint).unreadKilotokens;
+    attempt.unreadKilotokensAtStart = m_parts.endpoints.workOf(*attempt.endpoint).unreadKilotokens;
     startAttempt(std::move(attempt), std::move(request));
     return true;
 }
 
 // Returns the other regions that may process the request and haven't been tried, with
 // the number of their usable endpoints.
-std::map<std::string, std::size_t> RoutedRun::otherRegions(const std::string& service) const
+std::map<std::string, std::size_t> RoutedRun::untriedRegions(const std::string& service) const
 {
     const std::vector<std::string>& homes = m_route->homeRegions;
     std::map<std::string, std::size_t> regions;
@@ -312,14 +312,14 @@
 }
 
 // A request that may have run or has begun to answer may go to any region.
-std::map<std::string, std::size_t> RoutedRun::regionsWithRoom(const std::string& service) const
+std::map<std::string, std::size_t> RoutedRun::regionsWithCapacity(const std::string& service) const
 {
-    std::map<std::string, std::size_t> regions = otherRegions(service);
+    std::map<std::string, std::size_t> regions = untriedRegions(service);
     if (m_mayHaveRun || m_hasHead)
         return regions;
-    Duration longest = longestWaitAnywhere();
+    Duration longest = maxWait();
     for (auto region = regions.begin(); region != regions.end();) {
-        std::optional<Duration> wait = waitAway(region->first);
+        std::optional<Duration> wait = expectedWaitIn(region->first);
         region = wait && *wait > longest ? regions.erase(region) : std::next(region);
     }
     return regions;
@@ -327,65 +327,65 @@
 
 bool RoutedRun::sendToRegion(const std::string& service, const char* why)
 {
-    while (std::optional<std::string> region = chooseSpillRegion(pressure(), regionsWithRoom(service), now(), m_parts.random)) {
-        if (sendToEntryOf(*region, why))
+    while (std::optional<std::string> region = chooseSpillRegion(regionAcceptance(), regionsWithCapacity(service), now(), m_parts.random)) {
+        if (sendToEntryIn(*region, why))
             return true;
     }
     return false;
 }
 
-EndpointDemand RoutedRun::demandFor(const PromptPart& part) const
+EndpointDemand RoutedRun::demandFor(const PromptPart& segment) const
 {
     EndpointDemand demand;
-    demand.sharedPart = part.id;
-    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(usualAnswers()) * (static_cast<double>(part.tokens) / tokensPerKilotoken));
-    demand.longestWait = longestWaitAnywhere();
+    demand.sharedPart = segment.id;
+    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(usualAnswers()) * (static_cast<double>(segment.tokens) / tokensPerKilotoken));
+    demand.longestWait = maxWait();
     return demand;
 }
 
 // Returns the regions whose expected wait is known and short enough for a request
 // with the segment, this one included.
-std::vector<PartRegionOption> RoutedRun::regionsFor(const PromptPart& part, const std::optional<std::string>& keeper, const ServiceSettings& settings) const
+std::vector<PartRegionOption> RoutedRun::regionOptionsFor(const PromptPart& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const
 {
-    Duration longest = longestWaitForOwner(demandFor(part));
+    Duration longest = longestWaitForOwner(demandFor(segment));
     std::vector<PartRegionOption> options;
-    auto add = [&](const std::string& region, std::optional<Duration> wait, Duration way, bool isKept) {
+    auto add = [&](const std::string& region, std::optional<Duration> wait, Duration roundTrip, bool isKept) {
         if (wait && *wait <= longest)
-            options.push_back({ region, *wait, way, isKept });
+            options.push_back({ region, *wait, roundTrip, isKept });
     };
     if (isAllowedHere()) {
-        std::optional<Duration> ofHolder = m_parts.endpoints.waitForHolder(settings, part.id, now());
+        std::optional<Duration> waitAtHolder = m_parts.endpoints.waitForHolder(settings, segment.id, now());
         ServiceOutlook here = m_parts.endpoints.outlook(settings, now());
-        std::optional<Duration> ofAny = here.endpoints > 0 ? std::optional<Duration>(here.wait) : std::nullopt;
-        add(m_parts.region, ofHolder ? ofHolder : ofAny, Duration::zero(), ofHolder || keeper == m_parts.region);
+        std::optional<Duration> waitAnywhere = here.endpoints > 0 ? std::optional<Duration>(here.wait) : std::nullopt;
+        add(m_parts.region, waitAtHolder ? waitAtHolder : waitAnywhere, Duration::zero(), waitAtHolder || keeperRegion == m_parts.region);
     }
-    for (const auto& [region, endpoints] : otherRegions(m_service))
-        add(region, waitAway(region), regionCrossing, keeper == region);
+    for (const auto& [region, endpoints] : untriedRegions(m_service))
+        add(region, expectedWaitIn(region), regionRoundTrip, keeperRegion == region);
     return options;
 }
 
 // A long shared segment is kept in one region: forwarding the request there costs a
 // round trip, which takes less time than reading the segment again.
-bool RoutedRun::sendToPart()
+bool RoutedRun::sendToSegmentRegion()
 {
     if (m_request.isForwarded || m_attempts > 0)
         return false;
-    const PromptPart* part = sharedPart();
+    const PromptPart* segment = sharedSegment();
     const ServiceSettings* settings = m_routes->findService(m_service);
-    if (!part || !settings)
+    if (!segment || !settings)
         return false;
-    std::optional<std::string> keeper = m_parts.endpoints.regionOfPart(m_service, part->id, m_route->homeRegions, now());
+    std::optional<std::string> keeperRegion = m_parts.endpoints.regionOfPart(m_service, segment->id, m_route->homeRegions, now());
     // A region without a load report gets the request if its acceptance is high enough.
-    bool isUnknown = keeper && *keeper != m_parts.region && !waitAway(*keeper);
+    bool isUnknown = keeperRegion && *keeperRegion != m_parts.region && !expectedWaitIn(*keeperRegion);
     if (isUnknown)
-        return pressure().readiness(*keeper, now()) > leastOwnerReadiness && sendToEntryOf(*keeper, "part");
-    std::vector<PartRegionOption> options = regionsFor(*part, keeper, *settings);
-    const PartRegionOption* chosen = choosePartRegion(options, demandFor(*part).readingAgain, m_parts.random);
-    bool goesAway = chosen && chosen->region != m_parts.region;
-    return goesAway && sendToEntryOf(chosen->region, chosen->keepsPart ? "part" : "part_moved");
+        return regionAcceptance().readiness(*keeperRegion, now()) > minOwnerAcceptance && sendToEntryIn(*keeperRegion, "part");
+    std::vector<PartRegionOption> options = regionOptionsFor(*segment, keeperRegion, *settings);
+    const PartRegionOption* chosen = choosePartRegion(options, demandFor(*segment).readingAgain, m_parts.random);
+    bool shouldForward = chosen && chosen->region != m_parts.region;
+    return shouldForward && sendToEntryIn(chosen->region, chosen->keepsPart ? "part" : "part_moved");
 }
 
-bool RoutedRun::sendToEntryOf(const std::string& region, const char* why)
+bool RoutedRun::sendToEntryIn(const std::string& region, const char* why)
 {
     std::optional<SocketAddress> peer = m_parts.entries.choosePeer(region, now(), m_parts.random);
     // A request that may not be processed here can only be served by such an entry.
@@ -396,7 +396,7 @@
         return false;
     HttpClientRequest request = makeRequest(*peer, {});
     request.headers.set(attemptsLeftHeader, std::to_string(m_route->attempts - std::min(m_runs, m_route->attempts)));
-    request.headers.set(earlierArrivalsHeader, std::to_string(m_arrivals));
+    request.headers.set(earlierAttemptsHeader, std::to_string(m_reachedAttempts));
     request.connectTimeout = peerConnectTimeout;
     Attempt attempt;
     attempt.target = AttemptTarget::Entry;
@@ -405,8 +405,9 @@
     attempt.peer = *peer;
     m_parts.metrics.count("forwards_to_regions");
     m_parts.outlooks.noteSent(region, m_service, m_request.facts.promptTokens, now());
-    // No data of a request that is bound to other regions is kept here, not even a hash.
-    const PromptPart* shared = isAllowedHere() ? sharedPart() : nullptr;
+    // Prompt data of a request that is bound to other regions isn't kept here, not even
+    // as a hash.
+    const PromptPart* shared = isAllowedHere() ? sharedSegment() : nullptr;
     if (shared)
         m_parts.endpoints.noteSentToRegion(region, shared->id, now());
     startAttempt(std::move(attempt), std::move(request));
@@ -438,7 +439,7 @@
     ++m_attempts;
     attempt.number = ++m_parts.lastAttempt;
     attempt.startedAt = now();
-    m_lastPlace = attempt.endpoint ? attempt.endpoint->record.incarnation : attempt.peer.toString();
+    m_lastTarget = attempt.endpoint ? attempt.endpoint->record.incarnation : attempt.peer.toString();
     m_lastWhy = attempt.why;
     std::uint64_t number = attempt.number;
     auto isCurrent = [number](const RoutedRun& run) { return run.m_attempt && run.m_attempt->number == number; };
@@ -459,12 +460,12 @@
             self->onEnd(result);
     };
     m_attempt->exchange = client.send(std::move(request), std::move(callbacks));
-    listenForGiveUp();
+    registerFailureCallback();
 }
 
 // The endpoint table may detect that the endpoint has stopped before the connection
 // fails.
-void RoutedRun::listenForGiveUp()
+void RoutedRun::registerFailureCallback()
 {
     if (!m_attempt->endpoint)
         return;
@@ -472,13 +473,13 @@
     m_attempt->endpoint->giveUps[number] = [weak = weak_from_this(), number](GiveUpReason reason) {
         std::shared_ptr<RoutedRun> self = weak.lock();
         if (self && self->m_attempt && self->m_attempt->number == number)
-            self->giveUp(reason);
+            self->onEndpointFailure(reason);
     };
 }
 
 // An unresponsive endpoint may still answer, so the attempt is abandoned only if the
 // request can be retried.
-void RoutedRun::giveUp(GiveUpReason reason)
+void RoutedRun::onEndpointFailure(GiveUpReason reason)
 {
     if (reason == GiveUpReason::StartedAgain) {
         abandonAttempt("endpoint_started_again");
@@ -487,7 +488,7 @@
     RunProgress after = progress();
     after.runs += 1;
     after.mayHaveRun = true;
-    if (decideNext(AttemptVerdict::Unknown, after) == NextStep::SendAgain)
+    if (decideNext(AttemptVerdict::Unknown, after) == NextStep::Retry)
         abandonAttempt("endpoint_silent");
 }
 
--- a/lib/Ingress/RoutedRunAnswers.cpp
+++ b/lib/Ingress/RoutedRunAnswers.cpp
@@ -19,43 +19,43 @@
 /// An answer that isn't a stream is buffered until it is complete, so that a broken
 /// one can be retried or fails with a status. An answer is abandoned if it exceeds
 /// the maximum body size of client requests by more than this.
-static constexpr std::size_t answerAllowance = 512u << 10;
+static constexpr std::size_t extraAnswerBytes = 512u << 10;
 /// The retry-after time is at most the remaining time of the request divided by
 /// this; after a longer wait the client would have no time left for the retry.
-static constexpr int mostOfTimeLeft = 3;
+static constexpr int timeLeftDivisor = 3;
 /// Retry-after time before a configuration is known and for requests without a
 /// route, where no load estimate exists; a start takes about this long.
-static constexpr milliseconds returnAfterStart { 500 };
+static constexpr milliseconds retryAfterWithoutRoute { 500 };
 
 /// A longer retry-after time stated by another entry is ignored as invalid.
-static constexpr std::chrono::duration<double> longestStatedReturn = std::chrono::hours(2);
+static constexpr std::chrono::duration<double> maxReportedRetryAfter = std::chrono::hours(2);
 
-static absl::optional<Outcome> statedOutcomeOf(const HttpResponseHead& head)
+static absl::optional<Outcome> readOutcome(const HttpResponseHead& head)
 {
-    const std::string* word = head.headers.find(outcomeHeader);
-    return word ? parseOutcome(*word) : absl::nullopt;
+    const std::string* text = head.headers.find(outcomeHeader);
+    return text ? parseOutcome(*text) : absl::nullopt;
 }
 
 // Reads the headers that are meant for this entry and removes them from the answer
 // for the client.
-void RoutedRun::takeStatements(Attempt& attempt)
+void RoutedRun::extractEntryHeaders(Attempt& attempt)
 {
     HttpHeaders& headers = attempt.head->headers;
-    attempt.statedOutcome = statedOutcomeOf(*attempt.head);
+    attempt.reportedOutcome = readOutcome(*attempt.head);
     unsigned runs = 0;
     const std::string* text = headers.find(endpointAttemptsHeader);
     if (text && absl::SimpleAtoi(*text, &runs))
-        attempt.statedRuns = runs;
+        attempt.reportedRuns = runs;
     double seconds = 0;
-    const std::string* returnAfter = headers.find(refusedEverywhereHeader);
-    if (returnAfter && absl::SimpleAtod(*returnAfter, &seconds) && seconds > 0 && seconds < longestStatedReturn.count())
-        attempt.statedReturn = std::chrono::duration_cast<milliseconds>(std::chrono::duration<double>(seconds));
+    const std::string* retryAfter = headers.find(refusedEverywhereHeader);
+    if (retryAfter && absl::SimpleAtod(*retryAfter, &seconds) && seconds > 0 && seconds < maxReportedRetryAfter.count())
+        attempt.reportedRetryAfter = std::chrono::duration_cast<milliseconds>(std::chrono::duration<double>(seconds));
     headers.remove(endpointAttemptsHeader);
     headers.remove(outcomeHeader);
     headers.remove(refusedEverywhereHeader);
 }
 
-void RoutedRun::noteHeard(const Attempt& attempt) const
+void RoutedRun::recordEndpointActivity(const Attempt& attempt) const
 {
     if (!attempt.endpoint)
         return;
@@ -65,7 +65,7 @@
 
 // The state that the endpoint reports itself takes precedence over its registration,
 // which may be outdated while the store is unavailable.
-void RoutedRun::learnStatements(const Attempt& attempt) const
+void RoutedRun::recordEndpointState(const Attempt& attempt) const
 {
     if (!attempt.endpoint || attempt.facts.isOtherIncarnation)
         return;
@@ -78,13 +78,13 @@
 void RoutedRun::onHead(const HttpResponseHead& head)
 {
     Attempt& attempt = *m_attempt;
-    noteHeard(attempt);
+    recordEndpointActivity(attempt);
     attempt.head = head;
     attempt.facts = m_parts.dialect.readAnswer(head);
     if (attempt.target == AttemptTarget::Entry)
-        takeStatements(attempt);
-    attempt.isOurs = attempt.facts.attemptId == m_request.facts.attemptId;
-    bool isForeign = !attempt.facts.attemptId.empty() && !attempt.isOurs;
+        extractEntryHeaders(attempt);
+    attempt.isForThisRequest = attempt.facts.attemptId == m_request.facts.attemptId;
+    bool isForeign = !attempt.facts.attemptId.empty() && !attempt.isForThisRequest;
     if (isForeign) {
         // The answer to this request may come next on the connection, but nothing on
         // that connection is reliable any more.
@@ -92,15 +92,15 @@
         abandonAttempt("answer_of_another_request");
         return;
     }
-    learnStatements(attempt);
+    recordEndpointState(attempt);
     const std::string* type = head.headers.find("content-type");
     bool isSuccess = head.status >= 200 && head.status < 300;
-    bool isDeliverable = attempt.facts.isEndpointAnswer && attempt.isOurs && isSuccess;
+    bool isDeliverable = attempt.facts.isEndpointAnswer && attempt.isForThisRequest && isSuccess;
     attempt.isEventStream = isDeliverable && type && absl::StartsWithIgnoreCase(*type, "text/event-stream");
 }
 
 // The first bytes of the answer show that the endpoint has read the prompt.
-void RoutedRun::noteRead(Attempt& attempt)
+void RoutedRun::clearUnreadTokens(Attempt& attempt)
 {
     if (attempt.endpoint)
         attempt.endpoint->unreadTokens -= attempt.unreadTokens;
@@ -109,16 +109,16 @@
 
 // The time to the first bytes measures the speed of the endpoint only if it had a free
 // slot; otherwise it mostly depends on the requests before.
-void RoutedRun::learnBegin(Attempt& attempt) const
+void RoutedRun::recordAnswerStart(Attempt& attempt) const
 {
-    if (attempt.hasBegun)
+    if (attempt.hasAnswerBegun)
         return;
-    attempt.hasBegun = true;
+    attempt.hasAnswerBegun = true;
     if (attempt.endpoint && attempt.hadFreeSlot)
-        EndpointTable::noteFirstByte(*attempt.endpoint, attempt.kilotokensBefore, now() - attempt.startedAt, now());
+        EndpointTable::noteFirstByte(*attempt.endpoint, attempt.unreadKilotokensAtStart, now() - attempt.startedAt, now());
 }
 
-double RoutedRun::likelyEvents() const
+double RoutedRun::expectedEvents() const
 {
     if (m_route->kind != RequestKind::Streaming)
         return 0;
@@ -126,9 +126,9 @@
 }
 
 // Removes the attempt from the pending work of its endpoint.
-void RoutedRun::leaveEndpoint(Attempt& attempt)
+void RoutedRun::releaseEndpoint(Attempt& attempt)
 {
-    noteRead(attempt);
+    clearUnreadTokens(attempt);
     if (attempt.endpoint)
         attempt.endpoint->giveUps.erase(attempt.number);
 }
@@ -138,21 +138,21 @@
     Attempt& attempt = *m_attempt;
     if (!attempt.isEventStream) {
         attempt.body.append(bytes.data(), bytes.size());
-        bool isTooLong = attempt.body.size() > static_cast<std::size_t>(m_routes->limits().maxBodyBytes) + answerAllowance;
+        bool isTooLong = attempt.body.size() > static_cast<std::size_t>(m_routes->limits().maxBodyBytes) + extraAnswerBytes;
         if (isTooLong)
             abandonAttempt("answer_too_long");
         return;
     }
-    noteRead(attempt);
-    learnBegin(attempt);
-    noteHeard(attempt);
+    clearUnreadTokens(attempt);
+    recordAnswerStart(attempt);
+    recordEndpointActivity(attempt);
     std::size_t before = m_cursor.events();
     std::string events = m_cursor.feed(bytes);
-    bool hasGoneOn = attempt.heardAt != TimePoint {} && !m_isPaused;
-    if (attempt.endpoint && hasGoneOn)
-        EndpointTable::noteEvents(*attempt.endpoint, m_cursor.events() - before, now() - attempt.heardAt, now());
+    bool hasContinued = attempt.lastEventAt != TimePoint {} && !m_isPaused;
+    if (attempt.endpoint && hasContinued)
+        EndpointTable::noteEvents(*attempt.endpoint, m_cursor.events() - before, now() - attempt.lastEventAt, now());
     if (m_cursor.events() > before)
-        attempt.heardAt = now();
+        attempt.lastEventAt = now();
     if (!events.empty()) {
         deliverHead(*attempt.head);
         deliver(std::move(events));
@@ -181,19 +181,19 @@
     evidence.mayHaveReached = mayHaveReached;
     evidence.hasHead = attempt.head.has_value();
     evidence.answer = attempt.facts;
-    evidence.isOurs = attempt.isOurs;
-    evidence.statedOutcome = attempt.statedOutcome;
-    AttemptVerdict verdict = judgeAttempt(evidence);
+    evidence.isForThisRequest = attempt.isForThisRequest;
+    evidence.reportedOutcome = attempt.reportedOutcome;
+    AttemptVerdict verdict = classifyAttempt(evidence);
     bool endsInsideEvent = attempt.isEventStream && (m_cursor.hasPartial() || m_cursor.isBroken());
     if (verdict == AttemptVerdict::Answered && endsInsideEvent)
         verdict = AttemptVerdict::Unknown;
-    m_arrivals += mayHaveReached ? 1 : 0;
-    learnCrash(attempt, end, verdict);
-    settleAttempt(verdict, detail);
+    m_reachedAttempts += mayHaveReached ? 1 : 0;
+    recordCrashEvidence(attempt, end, verdict);
+    recordAttemptResult(verdict, detail);
     if (verdict == AttemptVerdict::Answered)
-        takeAnswer();
+        handleAnswer();
     else
-        takeFailure(verdict);
+        handleFailure(verdict);
 }
 
 static const char* verdictName(AttemptVerdict verdict)
@@ -214,27 +214,27 @@
 {
     if (attempt.target == AttemptTarget::Endpoint)
         return 1;
-    return attempt.statedRuns.value_or(m_route->attempts);
+    return attempt.reportedRuns.value_or(m_route->attempts);
 }
 
-void RoutedRun::settleAttempt(AttemptVerdict verdict, const std::string& detail)
+void RoutedRun::recordAttemptResult(AttemptVerdict verdict, const std::string& detail)
 {
     Attempt& attempt = *m_attempt;
-    bool wasRefused = verdict == AttemptVerdict::NotRun && (attempt.facts.wasNotRun || attempt.statedOutcome) && !attempt.facts.isOtherIncarnation;
-    bool hadNoAnswer = verdict != AttemptVerdict::Answered && !attempt.facts.wasNotRun && !attempt.statedOutcome;
-    const PromptPart* shared = sharedPart();
+    bool wasRefused = verdict == AttemptVerdict::NotRun && (attempt.facts.wasNotRun || attempt.reportedOutcome) && !attempt.facts.isOtherIncarnation;
+    bool hadNoAnswer = verdict != AttemptVerdict::Answered && !attempt.facts.wasNotRun && !attempt.reportedOutcome;
+    const PromptPart* shared = sharedSegment();
     if (attempt.endpoint && shared && verdict == AttemptVerdict::NotRun)
         m_parts.endpoints.noteNotRead(*attempt.endpoint, shared->id);
-    leaveEndpoint(attempt);
+    releaseEndpoint(attempt);
     m_parts.metrics.observeStage("attempt", m_service, now() - attempt.startedAt);
-    if (wasRefused && !attempt.statedReturn)
-        pressure().noteRefused(attempt.region, now());
+    if (wasRefused && !attempt.reportedRetryAfter)
+        regionAcceptance().noteRefused(attempt.region, now());
     else if (verdict == AttemptVerdict::Answered)
-        pressure().noteTaken(attempt.region, now());
+        regionAcceptance().noteTaken(attempt.region, now());
     m_wasRefusedHere = m_wasRefusedHere || (wasRefused && attempt.endpoint);
-    bool isWellAnswered = verdict == AttemptVerdict::Answered && attempt.head->status < firstErrorStatus;
-    if (attempt.endpoint && isWellAnswered) {
-        learnBegin(attempt);
+    bool hasSucceeded = verdict == AttemptVerdict::Answered && attempt.head->status < firstErrorStatus;
+    if (attempt.endpoint && hasSucceeded) {
+        recordAnswerStart(attempt);
         EndpointTable::noteHeld(*attempt.endpoint, now() - attempt.startedAt, now());
     }
     if (attempt.endpoint) {
@@ -250,19 +250,19 @@
     m_runs += isRun ? runsOf(attempt) : 0;
     m_refusals += isRun ? 0 : 1;
     m_mayHaveRun = m_mayHaveRun || isRun;
-    m_lastRan = isRun;
+    m_lastMayHaveRun = isRun;
     if (verdict == AttemptVerdict::Answered || !m_parts.log.admitsNotable())
         return;
     m_parts.log.write(LogLevel::Warning, "attempt_failed",
         { { "request", m_request.facts.attemptId }, { "fingerprint", attempt.endpoint ? fingerprint().toHex() : "" }, { "route", m_route->name },
-            { "to", m_lastPlace }, { "region", attempt.region }, { "why", attempt.why },
+            { "to", m_lastTarget }, { "region", attempt.region }, { "why", attempt.why },
             { "verdict", verdictName(verdict) }, { "status", attempt.head ? attempt.head->status : 0 }, { "detail", detail },
             { "attempt", m_attempts }, { "took_ms", std::chrono::duration_cast<milliseconds>(now() - attempt.startedAt).count() } });
 }
 
 // An error status of an endpoint is a complete answer, but a request that may be
 // executed again is retried, since another attempt may succeed.
-void RoutedRun::takeAnswer()
+void RoutedRun::handleAnswer()
 {
     Attempt attempt = std::move(*m_attempt);
     m_attempt.reset();
@@ -274,19 +274,19 @@
         return;
     }
     bool isFailure = attempt.head->status >= firstErrorStatus;
-    bool mayTryAgain = isFailure && mayRepeat(*m_route) && !m_hasHead;
-    if (!mayTryAgain) {
-        answerWhole(*attempt.head, std::move(attempt.body));
+    bool mayRetryFailure = isFailure && mayRepeat(*m_route) && !m_hasHead;
+    if (!mayRetryFailure) {
+        sendAnswer(*attempt.head, std::move(attempt.body));
         return;
     }
     m_failureHead = std::move(attempt.head);
     m_failureBody = std::move(attempt.body);
-    takeFailure(AttemptVerdict::Unknown);
+    handleFailure(AttemptVerdict::Unknown);
 }
 
 RetryOrder RoutedRun::retryOrder() const
 {
-    return m_arrivals + m_request.earlierArrivals > 1 ? RetryOrder::Further : RetryOrder::First;
+    return m_reachedAttempts + m_request.earlierAttempts > 1 ? RetryOrder::Further : RetryOrder::First;
 }
 
 RunProgress RoutedRun::progress()
@@ -299,7 +299,7 @@
     progress.refusals = m_refusals;
     progress.maxRuns = std::min(m_route->attempts, m_request.attemptsLeft.value_or(m_route->attempts));
     progress.hasDelivered = m_hasHead;
-    progress.hasBudget = m_arrivals == 0 || m_parts.retryBudgetOf(m_service).hasRetry(now(), retryOrder());
+    progress.hasBudget = m_reachedAttempts == 0 || m_parts.retryBudgetOf(m_service).hasRetry(now(), retryOrder());
     progress.timeLeft = m_deadline - now();
     return progress;
 }
@@ -312,7 +312,7 @@
         return next;
     RunProgress withBudget = actual;
     withBudget.hasBudget = true;
-    m_wasDeniedRetry = decideNext(verdict, withBudget) == NextStep::SendAgain;
+    m_wasDeniedRetry = decideNext(verdict, withBudget) == NextStep::Retry;
     if (m_wasDeniedRetry) {
         m_parts.retryBudgetOf(m_service).noteDenied();
         m_parts.metrics.count("retries_denied");
@@ -320,37 +320,37 @@
     return next;
 }
 
-void RoutedRun::takeFailure(AttemptVerdict verdict)
+void RoutedRun::handleFailure(AttemptVerdict verdict)
 {
     absl::optional<Attempt> failed = std::exchange(m_attempt, absl::nullopt);
-    if (failed && failed->statedReturn) {
-        refuseEverywhere(*failed->statedReturn);
+    if (failed && failed->reportedRetryAfter) {
+        refuseEverywhere(*failed->reportedRetryAfter);
         return;
     }
     switch (decideNextStep(verdict)) {
-    case NextStep::SendAgain:
-        if (m_arrivals > 0)
+    case NextStep::Retry:
+        if (m_reachedAttempts > 0)
             m_parts.retryBudgetOf(m_service).tryRetry(now(), retryOrder());
         m_parts.metrics.count("retries");
         dispatch();
         return;
     case NextStep::RefuseNotRun:
-        answerOwn(statusUnavailable, Outcome::NotRun, "refused_by_endpoints");
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "refused_by_endpoints");
         return;
     case NextStep::FailUnknown:
         if (m_failureHead)
-            answerWhole(*m_failureHead, std::move(m_failureBody));
+            sendAnswer(*m_failureHead, std::move(m_failureBody));
         else
-            answerOwn(statusBadGateway, Outcome::Unknown, "no_answer");
+            sendOwnAnswer(statusBadGateway, Outcome::Unknown, "no_answer");
         return;
-    case NextStep::CutOff:
-        cutOff("stream_broke");
+    case NextStep::Abort:
+        abortAnswer("stream_broke");
         return;
     }
 }
 
 // The forwarding entry counts these attempts against the limit of its route.
-HttpResponseHead RoutedRun::withStatements(HttpResponseHead head) const
+HttpResponseHead RoutedRun::withAttemptsHeader(HttpResponseHead head) const
 {
     if (m_request.isForwarded)
         head.headers.add(endpointAttemptsHeader, std::to_string(std::max(m_runs, 1u)));
@@ -363,7 +363,7 @@
         return;
     m_hasHead = true;
     m_firstByteAt = now();
-    m_responder->sendHead(withStatements(head));
+    m_responder->sendHead(withAttemptsHeader(head));
 }
 
 void RoutedRun::deliver(std::string bytes)
@@ -373,10 +373,10 @@
         return;
     m_isPaused = true;
     m_attempt->exchange->pause();
-    m_responder->onWritable([self = shared_from_this()] { self->relieveBackPressure(); });
+    m_responder->onWritable([self = shared_from_this()] { self->resumeReading(); });
 }
 
-void RoutedRun::relieveBackPressure()
+void RoutedRun::resumeReading()
 {
     if (!m_isPaused || m_isDone)
         return;
@@ -385,37 +385,37 @@
         m_attempt->exchange->resume();
 }
 
-void RoutedRun::answerWhole(const HttpResponseHead& head, std::string body)
+void RoutedRun::sendAnswer(const HttpResponseHead& head, std::string body)
 {
     if (m_hasHead) {
-        cutOff("stream_failed");
+        abortAnswer("stream_failed");
         return;
     }
     m_firstByteAt = now();
     int status = head.status;
-    m_responder->send(withStatements(head), std::move(body));
+    m_responder->send(withAttemptsHeader(head), std::move(body));
     finish(status, "completed", "");
 }
 
 // Retry-after times are spaced by the work per request, so that clients retry no faster
 // than this entry's share of the region's endpoints can handle.
-milliseconds RoutedRun::returnAfter() const
+milliseconds RoutedRun::retryAfter() const
 {
     if (!m_route)
-        return returnAfterStart;
-    if (m_returnAfter)
-        return *m_returnAfter;
-    milliseconds longest = std::max(timeLeft() / mostOfTimeLeft, milliseconds(1));
+        return retryAfterWithoutRoute;
+    if (m_retryAfter)
+        return *m_retryAfter;
+    milliseconds longest = std::max(timeLeft() / timeLeftDivisor, milliseconds(1));
     Duration work = m_parts.endpoints.workPerRequest(m_service, m_request.facts.promptTokens, now());
     milliseconds pause = std::chrono::ceil<milliseconds>(m_parts.endpoints.pauseOf(m_service, now()));
-    return std::max(m_parts.returns[m_service].book(work, longest, now(), m_parts.random), pause);
+    return std::max(m_parts.retryAfterSchedules[m_service].book(work, longest, now(), m_parts.random), pause);
 }
 
 // Sends an answer that this entry makes itself, with the outcome of the request.
-void RoutedRun::answerOwn(int status, Outcome outcome, const char* reason)
+void RoutedRun::sendOwnAnswer(int status, Outcome outcome, const char* reason)
 {
     if (m_hasHead) {
-        cutOff(reason);
+        abortAnswer(reason);
         return;
     }
     HttpResponseHead head;
@@ -423,20 +423,20 @@
     head.headers.add("content-type", "application/json");
     head.headers.add(outcomeHeader, outcomeWord(outcome));
     if (status == statusUnavailable)
-        head.headers.add("retry-after", absl::StrCat(std::chrono::duration<double>(returnAfter()).count()));
-    if (m_returnAfter && m_request.isForwarded)
-        head.headers.add(refusedEverywhereHeader, absl::StrCat(std::chrono::duration<double>(*m_returnAfter).count()));
-    m_responder->send(withStatements(head), absl::StrCat("{\"error\":{\"code\":\"", reason, "\",\"outcome\":\"", outcomeWord(outcome), "\"}}"));
+        head.headers.add("retry-after", absl::StrCat(std::chrono::duration<double>(retryAfter()).count()));
+    if (m_retryAfter && m_request.isForwarded)
+        head.headers.add(refusedEverywhereHeader, absl::StrCat(std::chrono::duration<double>(*m_retryAfter).count()));
+    m_responder->send(withAttemptsHeader(head), absl::StrCat("{\"error\":{\"code\":\"", reason, "\",\"outcome\":\"", outcomeWord(outcome), "\"}}"));
     finish(status, outcomeWord(outcome), reason);
 }
 
-void RoutedRun::cutOff(const char* reason)
+void RoutedRun::abortAnswer(const char* reason)
 {
     m_responder->abort();
     finish(0, "unknown", reason);
 }
 
-void RoutedRun::deadlinePassed()
+void RoutedRun::onDeadline()
 {
     m_deadlineTimer = 0;
     m_wasTimedOut = true;
@@ -444,12 +444,12 @@
     if (m_attempt)
         m_attempt->exchange->cancel();
     if (mayHaveReached || m_mayHaveRun)
-        answerOwn(statusGatewayTimeout, Outcome::Unknown, "timeout");
+        sendOwnAnswer(statusGatewayTimeout, Outcome::Unknown, "timeout");
     else
-        answerOwn(statusUnavailable, Outcome::NotRun, "timeout");
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "timeout");
 }
 
-void RoutedRun::clientGone()
+void RoutedRun::onClientClosed()
 {
     if (m_isDone)
         return;
@@ -464,7 +464,7 @@
     m_isDone = true;
     m_parts.scheduler.cancel(m_deadlineTimer);
     if (m_attempt && m_attempt->endpoint) {
-        leaveEndpoint(*m_attempt);
+        releaseEndpoint(*m_attempt);
         bool wasSilent = m_wasTimedOut && !m_attempt->head;
         m_parts.endpoints.noteEnded(*m_attempt->endpoint, wasSilent, now());
     }
@@ -488,7 +488,7 @@
         if (m_cursor.events() > 0)
             fields["events"] = m_cursor.events();
         if (m_attempts > 0) {
-            fields["to"] = m_lastPlace;
+            fields["to"] = m_lastTarget;
             fields["why"] = m_lastWhy;
             fields["load_reports"] = m_parts.endpoints.peerLoads().entries();
         }
--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -14,10 +14,10 @@
 static constexpr int firstErrorStatus = 500;
 /// A request waits at most this long for the outcome of an identical one after an
 /// endpoint crashed while running it.
-static constexpr milliseconds longestHold { 400 };
-static constexpr milliseconds holdCheck { 20 };
+static constexpr milliseconds maxHoldTime { 400 };
+static constexpr milliseconds holdCheckInterval { 20 };
 /// After this time it is mostly known whether the request caused the crash.
-static constexpr milliseconds returnAfterHold { 1'000 };
+static constexpr milliseconds retryAfterHold { 1'000 };
 
 const RequestFingerprint& RoutedRun::fingerprint()
 {
@@ -51,7 +51,7 @@
             { "crash_ms_ago", std::chrono::duration_cast<milliseconds>(time - crash.at).count() }, { "rank", order.rank }, { "entries", order.entries } });
 }
 
-bool RoutedRun::waitIfSuspect()
+bool RoutedRun::holdIfSuspect()
 {
     CrashingRequests& crashing = m_parts.crashing;
     if (crashing.isEmpty() || !isAllowedHere())
@@ -60,40 +60,40 @@
     std::optional<CrashingRequests::RecentCrash> crash = crashing.crashToAwait(fingerprint(), time);
     if (!crash)
         return false;
-    bool ranBeside = crash->isOnlyOwn && m_arrivals > 0;
+    bool isLikelyUnrelated = crash->isOnlyOwn && m_reachedAttempts > 0;
     EntryOrder order = m_parts.entries.orderFor(stableHash(fingerprint()), m_route->homeRegions);
-    Duration wait = ranBeside ? Duration::zero() : crashing.turnOf(fingerprint(), *crash, order, time) - time;
+    Duration wait = isLikelyUnrelated ? Duration::zero() : crashing.turnOf(fingerprint(), *crash, order, time) - time;
     if (wait <= Duration::zero()) {
         crashing.noteTried(fingerprint(), time);
         return false;
     }
     if (!m_heldSince)
         beginHold(*crash, order, time);
-    if (time - *m_heldSince >= longestHold) {
-        refuseEverywhere(returnAfterHold, "crash_unsettled");
+    if (time - *m_heldSince >= maxHoldTime) {
+        refuseEverywhere(retryAfterHold, "crash_unsettled");
         return true;
     }
-    m_parts.scheduler.callAfter(std::min<Duration>(wait, holdCheck), [self = shared_from_this()] {
+    m_parts.scheduler.callAfter(std::min<Duration>(wait, holdCheckInterval), [self = shared_from_this()] {
         if (!self->m_isDone)
             self->dispatch();
     });
     return true;
 }
 
-void RoutedRun::refuseEverywhere(milliseconds returnAfter, const char* reason)
+void RoutedRun::refuseEverywhere(milliseconds retryAfter, const char* reason)
 {
-    m_returnAfter = returnAfter;
+    m_retryAfter = retryAfter;
     if (m_failureHead)
-        answerWhole(*m_failureHead, std::move(m_failureBody));
+        sendAnswer(*m_failureHead, std::move(m_failureBody));
     else if (m_mayHaveRun)
-        answerOwn(statusBadGateway, Outcome::Unknown, reason);
+        sendOwnAnswer(statusBadGateway, Outcome::Unknown, reason);
     else
-        answerOwn(statusUnavailable, Outcome::NotRun, reason);
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, reason);
 }
 
 // An answer of another incarnation or a failed connection shows that the endpoint has
 // stopped. A broken or missing answer shows that it may have crashed.
-void RoutedRun::learnCrash(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict)
+void RoutedRun::recordCrashEvidence(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict)
 {
     CrashingRequests& crashing = m_parts.crashing;
     // An answer that another entry relays was also made by an endpoint.
--- a/lib/Ingress/RunDecisions.cpp
+++ b/lib/Ingress/RunDecisions.cpp
@@ -8,21 +8,21 @@
 /// An attempt with less time left than this would only fail at its deadline.
 static constexpr std::chrono::milliseconds minTimeForAttempt { 20 };
 
-AttemptVerdict judgeAttempt(const AttemptEvidence& evidence)
+AttemptVerdict classifyAttempt(const AttemptEvidence& evidence)
 {
     if (!evidence.mayHaveReached)
         return AttemptVerdict::NotRun;
     if (!evidence.hasHead)
         return AttemptVerdict::Unknown;
-    if (evidence.statedOutcome)
-        return *evidence.statedOutcome == Outcome::NotRun ? AttemptVerdict::NotRun : AttemptVerdict::Unknown;
+    if (evidence.reportedOutcome)
+        return *evidence.reportedOutcome == Outcome::NotRun ? AttemptVerdict::NotRun : AttemptVerdict::Unknown;
     if (evidence.answer.wasNotRun)
         return AttemptVerdict::NotRun;
-    bool isWhole = evidence.end == HttpEnd::Complete;
-    return isWhole && evidence.answer.isEndpointAnswer && evidence.isOurs ? AttemptVerdict::Answered : AttemptVerdict::Unknown;
+    bool isComplete = evidence.end == HttpEnd::Complete;
+    return isComplete && evidence.answer.isEndpointAnswer && evidence.isForThisRequest ? AttemptVerdict::Answered : AttemptVerdict::Unknown;
 }
 
-static bool maySendAgain(AttemptVerdict verdict, const RunProgress& progress)
+static bool mayRetry(AttemptVerdict verdict, const RunProgress& progress)
 {
     if (!progress.hasBudget || progress.timeLeft < minTimeForAttempt)
         return false;
@@ -37,10 +37,10 @@
 
 NextStep decideNext(AttemptVerdict verdict, const RunProgress& progress)
 {
-    if (maySendAgain(verdict, progress))
-        return NextStep::SendAgain;
+    if (mayRetry(verdict, progress))
+        return NextStep::Retry;
     if (progress.hasDelivered)
-        return NextStep::CutOff;
+        return NextStep::Abort;
     return progress.mayHaveRun ? NextStep::FailUnknown : NextStep::RefuseNotRun;
 }
 
--- a/unittests/Ingress/IngressFixture.cpp
+++ b/unittests/Ingress/IngressFixture.cpp
@@ -86,7 +86,7 @@
     return "id: " + std::to_string(id) + "\ndata: x\n\n";
 }
 
-FakeHttpAnswer streamed(const HttpClientRequest& request, const std::vector<int>& ids)
+FakeHttpAnswer streamAnswer(const HttpClientRequest& request, const std::vector<int>& ids)
 {
     FakeHttpAnswer answer = answered(request, 200, "");
     answer.headers.add("content-type", "text/event-stream");
@@ -130,7 +130,7 @@
     return route;
 }
 
-Route IngressFixture::stream(bool isResumable)
+Route IngressFixture::streamRoute(bool isResumable)
 {
     Route route = unary(RequestKind::Streaming);
     route.isResumable = isResumable;
@@ -176,7 +176,7 @@
     return responder;
 }
 
-std::string IngressFixture::sent(std::size_t index, absl::string_view name) const
+std::string IngressFixture::sentHeader(std::size_t index, absl::string_view name) const
 {
     const std::string* value = endpointClient.requests.at(index).headers.find(name);
     return value ? *value : "";
--- a/unittests/Ingress/IngressFixture.h
+++ b/unittests/Ingress/IngressFixture.h
@@ -16,7 +16,7 @@
 /// Returns an endpoint's refusal that states that the request was not executed.
 FakeHttpAnswer refused();
 /// Returns a complete event stream with the events of \p ids.
-FakeHttpAnswer streamed(const HttpClientRequest& request, const std::vector<int>& ids);
+FakeHttpAnswer streamAnswer(const HttpClientRequest& request, const std::vector<int>& ids);
 /// Returns the text of one event of a stream.
 std::string eventText(int id);
 
@@ -27,7 +27,7 @@
     /// Applies a configuration of one route and the service that all its requests go to.
     void configure(Route route);
     static Route unary(RequestKind kind, unsigned attempts = 2);
-    static Route stream(bool isResumable);
+    static Route streamRoute(bool isResumable);
     void addEndpoint(const std::string& incarnation, const std::string& zone = "north-a");
     void addEntry(const std::string& name, const std::string& region, int port);
     /// Starts a request and returns the responder that receives its answer.
@@ -36,7 +36,7 @@
     std::shared_ptr<FakeResponder> runToEnd(HttpHeaders headers = {}, bool isForwarded = false);
     /// Returns the value of a header in the request at \p index of those sent to
     /// endpoints, or an empty string if the header is missing.
-    std::string sent(std::size_t index, absl::string_view name) const;
+    std::string sentHeader(std::size_t index, absl::string_view name) const;
 
     ManualScheduler scheduler;
     Random random { 7 };
--- a/unittests/Ingress/RetryBudgetTest.cpp
+++ b/unittests/Ingress/RetryBudgetTest.cpp
@@ -9,19 +9,19 @@
 using namespace std::chrono_literals;
 
 static constexpr double ratio = 0.2;
-static constexpr double slack = 50;
+static constexpr double allowance = 50;
 static constexpr Duration window = 10s;
 static constexpr Duration step = 10ms;
-static constexpr Duration untilRefusals = 10s;
+static constexpr Duration timeBeforeRefusals = 10s;
 
 namespace {
 
 /// The window of ten seconds in which the number of retries exceeds the allowed number
 /// the most. A retry is an arrival at an endpoint after the first of the same request.
 struct WorstWindow {
-    std::size_t repeats { 0 };
+    std::size_t retries { 0 };
     double allowed { 0 };
-    double excess() const { return static_cast<double>(repeats) - allowed; }
+    double excess() const { return static_cast<double>(retries) - allowed; }
 };
 
 std::size_t countWithin(const std::vector<TimePoint>& times, TimePoint from)
@@ -31,28 +31,28 @@
     return static_cast<std::size_t>(last - first);
 }
 
-std::vector<TimePoint> repeatsOf(const EntryFleet& fleet)
+std::vector<TimePoint> retriesOf(const EntryFleet& fleet)
 {
     std::unordered_set<std::string> arrived;
-    std::vector<TimePoint> repeats;
+    std::vector<TimePoint> retries;
     for (const Arrival& arrival : fleet.arrivals) {
         if (!arrived.insert(arrival.request).second)
-            repeats.push_back(arrival.at);
+            retries.push_back(arrival.at);
     }
-    return repeats;
+    return retries;
 }
 
 WorstWindow worstWindow(const EntryFleet& fleet)
 {
-    std::vector<TimePoint> repeats = repeatsOf(fleet);
+    std::vector<TimePoint> retries = retriesOf(fleet);
     std::vector<TimePoint> requests;
     for (const SentRequest& request : fleet.sent)
         requests.push_back(request.at);
     WorstWindow worst;
     for (TimePoint from = requests.front(); from < fleet.now(); from += step) {
-        std::size_t earning = std::max({ countWithin(requests, from), countWithin(requests, from - window / 2), countWithin(requests, from - window) });
-        WorstWindow seen { countWithin(repeats, from), ratio * static_cast<double>(earning) + slack };
-        if (seen.repeats > 0 && (worst.repeats == 0 || seen.excess() > worst.excess()))
+        std::size_t countedRequests = std::max({ countWithin(requests, from), countWithin(requests, from - window / 2), countWithin(requests, from - window) });
+        WorstWindow seen { countWithin(retries, from), ratio * static_cast<double>(countedRequests) + allowance };
+        if (seen.retries > 0 && (worst.retries == 0 || seen.excess() > worst.excess()))
             worst = seen;
     }
     return worst;
@@ -98,7 +98,7 @@
 {
     WorstWindow worst = worstWindow(fleet);
     INFO("seed " << seed);
-    CHECK(static_cast<double>(worst.repeats) <= worst.allowed);
+    CHECK(static_cast<double>(worst.retries) <= worst.allowed);
 }
 
 } // namespace
@@ -109,7 +109,7 @@
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
-        sendFor(fleet, untilRefusals, 100, anyOfFirstRegion);
+        sendFor(fleet, timeBeforeRefusals, 100, anyOfFirstRegion);
         beginRefusals(fleet);
         sendFor(fleet, 1500ms, 100, anyOfFirstRegion);
         sendFor(fleet, 12s, 100, anyOfSecondRegion);
@@ -129,7 +129,7 @@
                 entry = anyEntry(among);
             return entry;
         };
-        sendFor(fleet, untilRefusals, 100, anyUp);
+        sendFor(fleet, timeBeforeRefusals, 100, anyUp);
         beginRefusals(fleet);
         sendFor(fleet, 500ms, 100, anyUp);
         for (std::size_t entry = 0; entry < fleet.entries(); ++entry) {
@@ -149,7 +149,7 @@
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
-        sendFor(fleet, untilRefusals, 20, anyOfFirstRegion);
+        sendFor(fleet, timeBeforeRefusals, 20, anyOfFirstRegion);
         fleet.cutRegions(true);
         for (std::size_t entry = 1; entry < fleet.entries(); ++entry)
             fleet.removeRegistration(entry);
@@ -165,15 +165,15 @@
 {
     for (double perSecond : { 10.0, 100.0 }) {
         EntryFleet fleet(1);
-        sendFor(fleet, untilRefusals, perSecond, anyEntry);
+        sendFor(fleet, timeBeforeRefusals, perSecond, anyEntry);
         beginRefusals(fleet);
         TimePoint began = fleet.now();
         constexpr int windows = 3;
         sendFor(fleet, window * windows, perSecond, anyEntry);
         checkWithinBudget(fleet, 1);
-        std::vector<TimePoint> repeats = repeatsOf(fleet);
-        auto used = std::count_if(repeats.begin(), repeats.end(), [began](TimePoint at) { return at >= began; });
-        double allowed = ratio * perSecond * std::chrono::duration<double>(window).count() + slack;
+        std::vector<TimePoint> retries = retriesOf(fleet);
+        auto used = std::count_if(retries.begin(), retries.end(), [began](TimePoint at) { return at >= began; });
+        double allowed = ratio * perSecond * std::chrono::duration<double>(window).count() + allowance;
         INFO(perSecond << " requests a second");
         CHECK(static_cast<double>(used) >= windows * allowed / 2);
     }
--- a/unittests/Ingress/RoutedRunTest.cpp
+++ b/unittests/Ingress/RoutedRunTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static FakeHttpAnswer lost(const HttpClientRequest&)
+static FakeHttpAnswer lostAnswer(const HttpClientRequest&)
 {
     return FakeHttpAnswer::failed(HttpEnd::NoResponse, true);
 }
@@ -15,12 +15,12 @@
     return FakeHttpAnswer::failed(HttpEnd::ConnectFailed, false);
 }
 
-static FakeHttpAnswer fine(const HttpClientRequest& request)
+static FakeHttpAnswer succeeding(const HttpClientRequest& request)
 {
     return answered(request, 200, "fine");
 }
 
-static FakeHttpAnswer silent(const HttpClientRequest&)
+static FakeHttpAnswer unresponsive(const HttpClientRequest&)
 {
     FakeHttpAnswer answer;
     answer.status = 0;
@@ -29,7 +29,7 @@
     return answer;
 }
 
-static FakeHttpAnswer full(const HttpClientRequest&)
+static FakeHttpAnswer refusing(const HttpClientRequest&)
 {
     return refused();
 }
@@ -39,12 +39,12 @@
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { fine };
+    fixture.answers = { succeeding };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 200);
     CHECK(client->body == "fine");
     CHECK(client->isFinished);
-    CHECK(fixture.sent(0, "incarnation") == "e1");
+    CHECK(fixture.sentHeader(0, "incarnation") == "e1");
     CHECK(fixture.endpointClient.requests[0].target == "/p/1");
     CHECK(fixture.parts.openRequests == 0);
 }
@@ -73,7 +73,7 @@
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { lost, fine };
+    fixture.answers = { lostAnswer, succeeding };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 502);
     CHECK(client->outcome() == "unknown");
@@ -82,16 +82,16 @@
 
 TEST_CASE("a request that certainly did not run is retried at another endpoint")
 {
-    for (auto failure : { unreachable, full }) {
+    for (auto failure : { unreachable, refusing }) {
         IngressFixture fixture;
         fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
         fixture.addEndpoint("e1");
         fixture.addEndpoint("e2");
-        fixture.answers = { failure, fine };
+        fixture.answers = { failure, succeeding };
         auto client = fixture.runToEnd();
         CHECK(client->status() == 200);
         REQUIRE(fixture.endpointClient.requests.size() == 2);
-        CHECK(fixture.sent(0, "incarnation") != fixture.sent(1, "incarnation"));
+        CHECK(fixture.sentHeader(0, "incarnation") != fixture.sentHeader(1, "incarnation"));
     }
 }
 
@@ -101,7 +101,7 @@
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { full };
+    fixture.answers = { refusing };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 503);
     CHECK(client->outcome() == "not-run");
@@ -116,7 +116,7 @@
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.addEndpoint("e3");
-    fixture.answers = { lost };
+    fixture.answers = { lostAnswer };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 502);
     CHECK(fixture.endpointClient.requests.size() == 2);
@@ -141,7 +141,7 @@
     while (fixture.parts.retryBudgetOf("service").tryRetry(fixture.scheduler.clock().now())) { }
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { lost, fine };
+    fixture.answers = { lostAnswer, succeeding };
     CHECK(fixture.runToEnd()->status() == 502);
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
@@ -153,7 +153,7 @@
     fixture.parts.retryBudgets.clear();
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { full, fine };
+    fixture.answers = { refusing, succeeding };
     CHECK(fixture.runToEnd()->status() == 200);
 }
 
@@ -249,10 +249,10 @@
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { fine };
+    fixture.answers = { succeeding };
     fixture.runToEnd({ { "time-left", "300" } });
-    CHECK(std::stoi(fixture.sent(0, "time-left")) <= 300);
-    CHECK(std::stoi(fixture.sent(0, "time-left")) > 250);
+    CHECK(std::stoi(fixture.sentHeader(0, "time-left")) <= 300);
+    CHECK(std::stoi(fixture.sentHeader(0, "time-left")) > 250);
 }
 
 TEST_CASE("the attempt is cancelled when the client disconnects")
@@ -261,7 +261,7 @@
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = fine(request);
+        FakeHttpAnswer answer = succeeding(request);
         answer.delay = 500ms;
         return answer;
     } };
@@ -277,30 +277,30 @@
 TEST_CASE("a broken stream resumes at another endpoint after its last complete event")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(true));
+    fixture.configure(IngressFixture::streamRoute(true));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { [](const HttpClientRequest& request) {
-                           FakeHttpAnswer answer = streamed(request, { 1, 2 });
+                           FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
                            answer.body.emplace_back("id: 3\nda");
                            answer.end = HttpEnd::Truncated;
                            return answer;
                        },
-        [](const HttpClientRequest& request) { return streamed(request, { 3, 4 }); } };
+        [](const HttpClientRequest& request) { return streamAnswer(request, { 3, 4 }); } };
     auto client = fixture.runToEnd();
     CHECK(client->isFinished);
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3) + eventText(4));
-    CHECK(fixture.sent(1, "resume-after") == "2");
+    CHECK(fixture.sentHeader(1, "resume-after") == "2");
 }
 
 TEST_CASE("a broken stream that can't resume is aborted and isn't retried")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(false));
+    fixture.configure(IngressFixture::streamRoute(false));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = streamed(request, { 1 });
+        FakeHttpAnswer answer = streamAnswer(request, { 1 });
         answer.end = HttpEnd::Truncated;
         return answer;
     } };
@@ -313,10 +313,10 @@
 TEST_CASE("a stream that ends inside an event counts as broken")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(false));
+    fixture.configure(IngressFixture::streamRoute(false));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = streamed(request, { 1 });
+        FakeHttpAnswer answer = streamAnswer(request, { 1 });
         answer.body.emplace_back("id: 2\nda");
         return answer;
     } };
@@ -334,7 +334,7 @@
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2", "south-a");
     fixture.addEntry("south-1", "south", 77);
-    fixture.peerClient.handler = fine;
+    fixture.peerClient.handler = succeeding;
     CHECK(fixture.runToEnd()->status() == 200);
     REQUIRE(fixture.peerClient.requests.size() == 1);
     CHECK(fixture.peerClient.requests[0].server.port == 77);
@@ -354,23 +354,23 @@
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2", "south-a");
     fixture.addEntry("south-1", "south", 77);
-    fixture.answers = { fine };
-    fixture.peerClient.handler = fine;
-    std::size_t kept = 0;
-    for (int part = 0; part < 40; ++part) {
+    fixture.answers = { succeeding };
+    fixture.peerClient.handler = succeeding;
+    std::size_t keptHere = 0;
+    for (int segment = 0; segment < 40; ++segment) {
         std::size_t before = fixture.endpointClient.requests.size();
         TimePoint now = fixture.scheduler.clock().now();
-        bool isOurs = fixture.parts.endpoints.regionOfPart("service", std::to_string(part), {}, now) == "north";
-        CHECK(fixture.runToEnd({ { "prompt", std::to_string(part) } })->status() == 200);
-        CHECK(fixture.endpointClient.requests.size() - before == (isOurs ? 1 : 0));
-        kept += isOurs ? 1 : 0;
+        bool isKeptHere = fixture.parts.endpoints.regionOfPart("service", std::to_string(segment), {}, now) == "north";
+        CHECK(fixture.runToEnd({ { "prompt", std::to_string(segment) } })->status() == 200);
+        CHECK(fixture.endpointClient.requests.size() - before == (isKeptHere ? 1 : 0));
+        keptHere += isKeptHere ? 1 : 0;
     }
-    CHECK(kept > 8);
-    CHECK(kept < 32);
+    CHECK(keptHere > 8);
+    CHECK(keptHere < 32);
     CHECK(fixture.parts.endpoints.regionOfPart("service", "1", { "south" }, fixture.scheduler.clock().now()) == "south");
     fixture.peerClient.handler = unreachable;
-    for (int part = 0; part < 10; ++part)
-        CHECK(fixture.runToEnd({ { "prompt", std::to_string(part) } })->status() == 200);
+    for (int segment = 0; segment < 10; ++segment)
+        CHECK(fixture.runToEnd({ { "prompt", std::to_string(segment) } })->status() == 200);
 }
 
 // Entries of a region send each other the hashes of shared segments. Guards against
@@ -386,7 +386,7 @@
         fixture.configure(route);
         fixture.addEndpoint("e2", "south-a");
         fixture.addEntry("south-1", "south", 77);
-        fixture.peerClient.handler = fine;
+        fixture.peerClient.handler = succeeding;
         CHECK(fixture.runToEnd({ { "prompt", "part" } })->status() == 200);
         CHECK(fixture.parts.endpoints.partsSent().size() == (isBound ? 0 : 1));
     }
@@ -415,7 +415,7 @@
     IngressFixture fixture;
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { fine };
+    fixture.answers = { succeeding };
     auto client = fixture.runToEnd({}, true);
     REQUIRE(client->head->headers.find(endpointAttemptsHeader));
     CHECK(*client->head->headers.find(endpointAttemptsHeader) == "1");
@@ -424,10 +424,10 @@
 TEST_CASE("reading from an endpoint pauses while the client reads slowly")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(false));
+    fixture.configure(IngressFixture::streamRoute(false));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = streamed(request, { 1 });
+        FakeHttpAnswer answer = streamAnswer(request, { 1 });
         answer.isLeftOpen = true;
         return answer;
     } };
@@ -449,7 +449,7 @@
     record.address = { "127.0.0.1", 1'000 };
     record.availabilityZone = "north-a";
     fixture.parts.endpoints.put(record, fixture.scheduler.clock().now());
-    fixture.answers = { silent, fine };
+    fixture.answers = { unresponsive, succeeding };
     auto client = fixture.start();
     fixture.scheduler.advance(100ms);
     CHECK(fixture.endpointClient.requests.size() == 1);
@@ -475,11 +475,11 @@
         fixture.parts.endpoints.forEach([unread](RoutedEndpoint& endpoint) { endpoint.unreadTokens = unread; });
         fixture.addEndpoint("s1", "south-a");
         fixture.addEntry("south-entry", "south", 50);
-        fixture.answers = { fine };
-        fixture.peerClient.handler = fine;
+        fixture.answers = { succeeding };
+        fixture.peerClient.handler = succeeding;
     }
 
-    void hearOfSouth(std::chrono::milliseconds wait)
+    void reportWaitInSouth(std::chrono::milliseconds wait)
     {
         RegionReport report { "south", "south-entry", ++sequence, { { serviceHash("service"), 2, wait, 20'000us, 0us } } };
         fixture.parts.outlooks.take(report, fixture.scheduler.clock().now());
@@ -494,7 +494,7 @@
 TEST_CASE("a request that would wait too long in every region is refused at once, as not run, with a retry-after time")
 {
     BusyRegion world(60'000);
-    world.hearOfSouth(2s);
+    world.reportWaitInSouth(2s);
     auto client = world.fixture.start();
     CHECK(client->status() == 503);
     CHECK(client->outcome() == "not-run");
@@ -509,7 +509,7 @@
 TEST_CASE("a request that would wait too long here is forwarded to a region with free capacity")
 {
     BusyRegion world(60'000);
-    world.hearOfSouth(0ms);
+    world.reportWaitInSouth(0ms);
     CHECK(world.fixture.runToEnd()->status() == 200);
     CHECK(world.fixture.peerClient.requests.size() == 1);
     CHECK(world.fixture.endpointClient.requests.empty());
@@ -518,7 +518,7 @@
 TEST_CASE("a request isn't forwarded while endpoints here have free capacity, even if another region is idle")
 {
     BusyRegion world(1'000);
-    world.hearOfSouth(0ms);
+    world.reportWaitInSouth(0ms);
     CHECK(world.fixture.runToEnd()->status() == 200);
     CHECK(world.fixture.endpointClient.requests.size() == 1);
 }
@@ -535,22 +535,22 @@
 TEST_CASE("a stream that has begun may resume at an endpoint where a new request would wait too long")
 {
     BusyRegion world(60'000);
-    Route route = IngressFixture::stream(true);
+    Route route = IngressFixture::streamRoute(true);
     route.latencyTarget = 600ms;
     world.fixture.configure(route);
     world.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens = 0; });
     world.fixture.answers = {
         [&world](const HttpClientRequest& request) {
             world.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens += 60'000; });
-            FakeHttpAnswer answer = streamed(request, { 1, 2 });
+            FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
             answer.end = HttpEnd::Truncated;
             return answer;
         },
-        [](const HttpClientRequest& request) { return streamed(request, { 3 }); }
+        [](const HttpClientRequest& request) { return streamAnswer(request, { 3 }); }
     };
     auto client = world.fixture.runToEnd();
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3));
-    CHECK(world.fixture.sent(1, "resume-after") == "2");
+    CHECK(world.fixture.sentHeader(1, "resume-after") == "2");
 }
 
 // Guards against requests that wait for an unresponsive endpoint until their deadline:
@@ -565,7 +565,7 @@
         fixture.configure(route);
         fixture.addEndpoint("e1");
         fixture.addEndpoint("e2");
-        fixture.answers = { silent, fine };
+        fixture.answers = { unresponsive, succeeding };
         auto client = fixture.start();
         fixture.scheduler.advance(800ms);
         fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
@@ -574,9 +574,9 @@
         fixture.scheduler.advance(800ms);
         fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
         fixture.scheduler.advance(10ms);
-        bool isRepeated = kind == RequestKind::Idempotent;
-        CHECK(fixture.endpointClient.requests.size() == (isRepeated ? 2u : 1u));
-        CHECK((isRepeated ? client->status() == 200 : !client->head));
+        bool isRetried = kind == RequestKind::Idempotent;
+        CHECK(fixture.endpointClient.requests.size() == (isRetried ? 2u : 1u));
+        CHECK((isRetried ? client->status() == 200 : !client->head));
         // The deadline ends a request that still waits.
         fixture.scheduler.advance(10s);
         CHECK(fixture.parts.openRequests == 0);
@@ -586,18 +586,18 @@
 TEST_CASE("a resumable stream moves from an unresponsive endpoint to another one after its last event")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::stream(true);
+    Route route = IngressFixture::streamRoute(true);
     route.timeout = 5s;
     fixture.configure(route);
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = {
         [](const HttpClientRequest& request) {
-            FakeHttpAnswer answer = streamed(request, { 1, 2 });
+            FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
             answer.isLeftOpen = true;
             return answer;
         },
-        [](const HttpClientRequest& request) { return streamed(request, { 3 }); }
+        [](const HttpClientRequest& request) { return streamAnswer(request, { 3 }); }
     };
     auto client = fixture.start();
     fixture.scheduler.advance(1'600ms);
@@ -605,7 +605,7 @@
     fixture.scheduler.advance(100ms);
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3));
     CHECK(fixture.endpointClient.exchanges[0]->isCancelled);
-    CHECK(fixture.sent(1, "resume-after") == "2");
+    CHECK(fixture.sentHeader(1, "resume-after") == "2");
 }
 
 TEST_CASE("an entry that was paused doesn't treat endpoints as unresponsive")
@@ -616,7 +616,7 @@
     fixture.configure(route);
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { silent, fine };
+    fixture.answers = { unresponsive, succeeding };
     fixture.start();
     fixture.scheduler.advance(3s);
     fixture.parts.endpoints.forgiveSilence(fixture.scheduler.clock().now());
@@ -648,7 +648,7 @@
     CHECK(*client->head->headers.find("retry-after") == "90.5");
     CHECK_FALSE(client->head->headers.find(refusedEverywhereHeader));
     CHECK(fixture.peerClient.requests.size() == 1);
-    CHECK(fixture.parts.pressures["service"].readiness("south", fixture.scheduler.clock().now()) == 1);
+    CHECK(fixture.parts.regionAcceptances["service"].readiness("south", fixture.scheduler.clock().now()) == 1);
 }
 
 TEST_CASE("the refusal of a forwarded request states if it holds everywhere")
@@ -657,11 +657,11 @@
     fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 1));
     for (int i = 1; i <= 4; ++i)
         fixture.addEndpoint("e" + std::to_string(i));
-    fixture.answers = { lost };
+    fixture.answers = { lostAnswer };
     for (int i = 0; i < 3; ++i) {
         CHECK(fixture.runToEnd()->status() == 502);
         fixture.parts.crashing.houseKeep(fixture.scheduler.clock().now());
-        fixture.parts.endpoints.remove(fixture.sent(static_cast<std::size_t>(i), "incarnation"), fixture.scheduler.clock().now());
+        fixture.parts.endpoints.remove(fixture.sentHeader(static_cast<std::size_t>(i), "incarnation"), fixture.scheduler.clock().now());
     }
     auto client = fixture.runToEnd({}, true);
     CHECK(client->status() == 503);
@@ -672,7 +672,7 @@
 
 static FakeHttpAnswer leaving(const HttpClientRequest& request)
 {
-    FakeHttpAnswer answer = fine(request);
+    FakeHttpAnswer answer = succeeding(request);
     answer.headers.add("leaving", "1");
     return answer;
 }
@@ -700,7 +700,7 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
     fixture.addEndpoint("e2");
     CHECK(fixture.runToEnd()->status() == 200);
-    CHECK(fixture.sent(1, "incarnation") == "e2");
+    CHECK(fixture.sentHeader(1, "incarnation") == "e2");
     // After 180 s another endpoint may use the same incarnation name.
     fixture.parts.endpoints.remove("e1", fixture.scheduler.clock().now());
     fixture.parts.endpoints.remove("e2", fixture.scheduler.clock().now());
@@ -721,7 +721,7 @@
                            answer.status = 421;
                            return answer;
                        },
-        fine };
+        succeeding };
     CHECK(fixture.runToEnd()->status() == 200);
     fixture.parts.endpoints.forEach([&](RoutedEndpoint& endpoint) { CHECK(endpoint.pausedUntil == TimePoint {}); });
 }
@@ -733,7 +733,7 @@
     fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { pausing, pausing, fine };
+    fixture.answers = { pausing, pausing, succeeding };
     CHECK(fixture.start()->isOpen());
     fixture.scheduler.advance(10ms);
     CHECK(fixture.endpointClient.requests.size() == 2);
--- a/unittests/Ingress/RunDecisionsTest.cpp
+++ b/unittests/Ingress/RunDecisionsTest.cpp
@@ -5,53 +5,53 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static AttemptEvidence wholeAnswer()
+static AttemptEvidence completeAnswer()
 {
     AttemptEvidence evidence;
     evidence.mayHaveReached = true;
     evidence.hasHead = true;
     evidence.answer.isEndpointAnswer = true;
-    evidence.isOurs = true;
+    evidence.isForThisRequest = true;
     return evidence;
 }
 
 TEST_CASE("an attempt counts as not run only if no byte was sent or the answer states it")
 {
     AttemptEvidence evidence;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::NotRun);
     evidence.mayHaveReached = true;
     evidence.end = HttpEnd::NoResponse;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
-    evidence = wholeAnswer();
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Answered);
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence = completeAnswer();
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Answered);
     evidence.answer.wasNotRun = true;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::NotRun);
 }
 
 TEST_CASE("a truncated answer, one not made by an endpoint and one to another request leave the outcome unknown")
 {
-    AttemptEvidence evidence = wholeAnswer();
+    AttemptEvidence evidence = completeAnswer();
     evidence.end = HttpEnd::Truncated;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
-    evidence = wholeAnswer();
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence = completeAnswer();
     evidence.answer.isEndpointAnswer = false;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
-    evidence = wholeAnswer();
-    evidence.isOurs = false;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence = completeAnswer();
+    evidence.isForThisRequest = false;
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
 }
 
 TEST_CASE("an outcome stated by another entry takes precedence over the answer itself")
 {
-    AttemptEvidence evidence = wholeAnswer();
+    AttemptEvidence evidence = completeAnswer();
     evidence.target = AttemptTarget::Entry;
-    evidence.statedOutcome = Outcome::NotRun;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
-    evidence.statedOutcome = Outcome::Unknown;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence.reportedOutcome = Outcome::NotRun;
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::NotRun);
+    evidence.reportedOutcome = Outcome::Unknown;
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
 }
 
-static RunProgress freshProgress()
+static RunProgress initialProgress()
 {
     RunProgress progress;
     progress.maxRuns = 2;
@@ -65,7 +65,7 @@
 {
     for (unsigned bits = 0; bits < 128; ++bits) {
         auto bit = [bits](unsigned number) { return (bits >> number & 1) != 0; };
-        RunProgress progress = freshProgress();
+        RunProgress progress = initialProgress();
         progress.mayRepeat = bit(0);
         progress.isResumable = bit(0) && bit(1);
         progress.mayHaveRun = bit(2);
@@ -77,7 +77,7 @@
             continue;
         NextStep step = decideNext(verdict, progress);
         CAPTURE(bits);
-        if (step == NextStep::SendAgain) {
+        if (step == NextStep::Retry) {
             CHECK((progress.mayRepeat || !progress.mayHaveRun));
             CHECK(progress.hasBudget);
             CHECK((!progress.hasDelivered || progress.isResumable));
@@ -85,24 +85,24 @@
         if (step == NextStep::RefuseNotRun)
             CHECK_FALSE(progress.mayHaveRun);
         if (progress.hasDelivered)
-            CHECK((step == NextStep::SendAgain || step == NextStep::CutOff));
+            CHECK((step == NextStep::Retry || step == NextStep::Abort));
         else
-            CHECK(step != NextStep::CutOff);
+            CHECK(step != NextStep::Abort);
     }
 }
 
 TEST_CASE("retries are limited by the number of attempts, the number of refusals and the time left")
 {
-    RunProgress progress = freshProgress();
+    RunProgress progress = initialProgress();
     progress.mayRepeat = true;
     progress.mayHaveRun = true;
     progress.runs = 1;
-    CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::SendAgain);
+    CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::Retry);
     progress.runs = 2;
     CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::FailUnknown);
-    progress = freshProgress();
+    progress = initialProgress();
     progress.refusals = 1;
-    CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::SendAgain);
+    CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::Retry);
     progress.refusals = 3;
     CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::RefuseNotRun);
     progress.refusals = 1;
