--- a/unittests/Ingress/RoutedRunTest.cpp
+++ b/unittests/Ingress/RoutedRunTest.cpp
@@ -464,8 +464,8 @@
 
 /// Two endpoints in the region "north" with \p unread prompt tokens each, and an entry
 /// in "south", a region that reports how long requests wait there.
-struct BusyRegion {
-    explicit BusyRegion(std::int64_t unread)
+struct BusyRegionFixture {
+    explicit BusyRegionFixture(std::int64_t unread)
     {
         Route route = IngressFixture::unary(RequestKind::NonIdempotent);
         route.latencyTarget = 600ms;
@@ -493,64 +493,64 @@
 
 TEST_CASE("a request that would wait too long in every region is refused at once, as not run, with a retry-after time")
 {
-    BusyRegion world(60'000);
-    world.reportWaitInSouth(2s);
-    auto client = world.fixture.start();
+    BusyRegionFixture regions(60'000);
+    regions.reportWaitInSouth(2s);
+    auto client = regions.fixture.start();
     CHECK(client->status() == 503);
     CHECK(client->outcome() == "not-run");
     REQUIRE(client->head->headers.find("retry-after"));
     double seconds = std::stod(*client->head->headers.find("retry-after"));
     CHECK(seconds > 0.2);
     CHECK(seconds <= 1.0 / 3 + 0.001);
-    CHECK(world.fixture.endpointClient.requests.empty());
-    CHECK(world.fixture.peerClient.requests.empty());
+    CHECK(regions.fixture.endpointClient.requests.empty());
+    CHECK(regions.fixture.peerClient.requests.empty());
 }
 
 TEST_CASE("a request that would wait too long here is forwarded to a region with free capacity")
 {
-    BusyRegion world(60'000);
-    world.reportWaitInSouth(0ms);
-    CHECK(world.fixture.runToEnd()->status() == 200);
-    CHECK(world.fixture.peerClient.requests.size() == 1);
-    CHECK(world.fixture.endpointClient.requests.empty());
+    BusyRegionFixture regions(60'000);
+    regions.reportWaitInSouth(0ms);
+    CHECK(regions.fixture.runToEnd()->status() == 200);
+    CHECK(regions.fixture.peerClient.requests.size() == 1);
+    CHECK(regions.fixture.endpointClient.requests.empty());
 }
 
 TEST_CASE("a request isn't forwarded while endpoints here have free capacity, even if another region is idle")
 {
-    BusyRegion world(1'000);
-    world.reportWaitInSouth(0ms);
-    CHECK(world.fixture.runToEnd()->status() == 200);
-    CHECK(world.fixture.endpointClient.requests.size() == 1);
+    BusyRegionFixture regions(1'000);
+    regions.reportWaitInSouth(0ms);
+    CHECK(regions.fixture.runToEnd()->status() == 200);
+    CHECK(regions.fixture.endpointClient.requests.size() == 1);
 }
 
 TEST_CASE("a forwarded request is refused if it would wait too long, so that the forwarding entry can try other regions")
 {
-    BusyRegion world(60'000);
-    auto client = world.fixture.start({}, true);
+    BusyRegionFixture regions(60'000);
+    auto client = regions.fixture.start({}, true);
     CHECK(client->status() == 503);
     CHECK(client->outcome() == "not-run");
-    CHECK(world.fixture.endpointClient.requests.empty());
+    CHECK(regions.fixture.endpointClient.requests.empty());
 }
 
 TEST_CASE("a stream that has begun may resume at an endpoint where a new request would wait too long")
 {
-    BusyRegion world(60'000);
+    BusyRegionFixture regions(60'000);
     Route route = IngressFixture::streamRoute(true);
     route.latencyTarget = 600ms;
-    world.fixture.configure(route);
-    world.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens = 0; });
-    world.fixture.answers = {
-        [&world](const HttpClientRequest& request) {
-            world.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens += 60'000; });
+    regions.fixture.configure(route);
+    regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens = 0; });
+    regions.fixture.answers = {
+        [&regions](const HttpClientRequest& request) {
+            regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens += 60'000; });
             FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
             answer.end = HttpEnd::Truncated;
             return answer;
         },
         [](const HttpClientRequest& request) { return streamAnswer(request, { 3 }); }
     };
-    auto client = world.fixture.runToEnd();
+    auto client = regions.fixture.runToEnd();
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3));
-    CHECK(world.fixture.sentHeader(1, "resume-after") == "2");
+    CHECK(regions.fixture.sentHeader(1, "resume-after") == "2");
 }
 
 // Guards against requests that wait for an unresponsive endpoint until their deadline:
