--- a/include/catkinwing/Ingress/RunDecisions.h
+++ b/include/catkinwing/Ingress/RunDecisions.h
@@ -44,7 +44,7 @@
     bool mayHaveRun { false };
     /// Attempts that may have been executed.
     unsigned runs { 0 };
-    /// Attempts that were refused without being executed.
+    /// Attempts that were certainly not executed, failed connections included.
     unsigned refusals { 0 };
     unsigned maxRuns { 1 };
     /// The head of the answer has been sent to the client.
--- a/lib/Ingress/RoutedRun.cpp
+++ b/lib/Ingress/RoutedRun.cpp
@@ -249,9 +249,9 @@
     return shouldForward && sendToRegion(m_service, m_wasRefusedHere ? "refused_here" : "region_refuses");
 }
 
-static const char* endpointChoiceReason(bool isRetry, bool hasSharedSegment)
+static const char* endpointChoiceReason(bool mayBeTried, bool hasSharedSegment)
 {
-    if (isRetry)
+    if (mayBeTried)
         return "only_endpoint_left";
     return hasSharedSegment ? "shared_part" : "least_work_of_two";
 }
--- a/lib/Ingress/RunDecisions.cpp
+++ b/lib/Ingress/RunDecisions.cpp
@@ -2,8 +2,8 @@
 
 namespace catkinwing {
 
-/// A request that was refused this often isn't retried: a third refusal indicates
-/// that the whole service is full.
+/// A request isn't retried after this many attempts that were certainly not executed,
+/// most of which are refusals: a third refusal indicates that the whole service is full.
 static constexpr unsigned maxRefusals = 3;
 /// An attempt with less time left than this would only fail at its deadline.
 static constexpr std::chrono::milliseconds minTimeForAttempt { 20 };
