--- a/include/catkinwing/Ingress/RoutedRun.h
+++ b/include/catkinwing/Ingress/RoutedRun.h
@@ -9,33 +9,33 @@
 
 namespace catkinwing {
 
-/// Attempts that the entry that forwards leaves to the one that it forwards to.
+/// Number of attempts that the entry that receives a forwarded request may make.
 constexpr const char* attemptsLeftHeader = "Catkinwing-Attempts-Left";
-/// Says how often the forwarded request may have arrived at endpoints before.
-constexpr const char* earlierArrivalsHeader = "Catkinwing-Earlier-Arrivals";
+/// Number of earlier attempts of a forwarded request that may have reached an endpoint.
+constexpr const char* earlierAttemptsHeader = "Catkinwing-Earlier-Arrivals";
 
-/// Says that a refusal holds at every entry and endpoint, for the time that it
-/// tells the client to wait.
+/// Marks a refusal that holds at every entry and endpoint. The value is the
+/// retry-after time in seconds.
 constexpr const char* refusedEverywhereHeader = "Catkinwing-Refused-Everywhere";
 
-/// A client's request as it came in.
+/// A request as received from a client or from another entry.
 struct RoutedRequest {
     HttpRequest http;
     RequestFacts facts;
-    /// Another entry took it from the client; it isn't forwarded again.
+    /// The request was forwarded by another entry and isn't forwarded again.
     bool isForwarded { false };
     TimePoint arrivedAt {};
-    /// Of a forwarded request: attempts that its entry leaves to this one.
+    /// Of a forwarded request: number of attempts that this entry may make.
     absl::optional<unsigned> attemptsLeft;
-    /// Of a forwarded request: how often it may have arrived at endpoints before.
-    unsigned earlierArrivals { 0 };
+    /// Of a forwarded request: number of earlier attempts that may have reached an endpoint.
+    unsigned earlierAttempts { 0 };
 };
 
-/// Takes what the entry that forwarded the request says of it in its headers.
+/// Reads the headers that a forwarding entry adds into \p request.
 void readForwardHeaders(const HttpHeaders& headers, RoutedRequest& request);
 
-/// The life of one routed request, from its arrival to its final answer. It
-/// keeps itself alive until then.
+/// Runs one routed request from its arrival to its final answer. The object
+/// holds a reference to itself until then.
 class RoutedRun : public std::enable_shared_from_this<RoutedRun> {
 public:
     RoutedRun(IngressParts& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder);
@@ -46,7 +46,7 @@
     void begin();
 
 private:
-    /// The attempt under way.
+    /// The attempt in progress.
     struct Attempt {
         /// Unique within the entry.
         std::uint64_t number { 0 };
@@ -54,28 +54,30 @@
         std::shared_ptr<RoutedEndpoint> endpoint;
         SocketAddress peer;
         std::string region;
-        /// Why it was sent there, for logs.
+        /// Reason for the choice of the target, for logs.
         const char* why { "" };
-        /// Counted as unread at the endpoint until its first bytes.
+        /// Prompt tokens counted as unread at the endpoint until the first bytes of the answer.
         std::int64_t unreadTokens { 0 };
-        /// Prompt tokens that the endpoint had to read when it was sent, its own
-        /// included, in thousands.
-        double kilotokensBefore { 0 };
-        /// The endpoint could run it at once.
+        /// Unread prompt tokens of the endpoint when the attempt was sent, those of
+        /// this request included, in thousands.
+        double unreadKilotokensAtStart { 0 };
+        /// The endpoint had a free slot when the attempt was sent, or has no slot limit.
         bool hadFreeSlot { false };
-        bool hasBegun { false };
-        /// When its last bytes came.
-        TimePoint heardAt {};
+        bool hasAnswerBegun { false };
+        /// When the last event of the stream was received.
+        TimePoint lastEventAt {};
         std::shared_ptr<HttpExchange> exchange;
         TimePoint startedAt {};
         absl::optional<HttpResponseHead> head;
         AnswerFacts facts;
-        absl::optional<Outcome> statedOutcome;
-        /// Endpoints that may have run it, if another entry says.
-        absl::optional<unsigned> statedRuns;
-        /// Of another entry's refusal that holds everywhere: when to come back.
-        absl::optional<std::chrono::milliseconds> statedReturn;
-        bool isOurs { false };
+        /// Outcome stated by the other entry.
+        absl::optional<Outcome> reportedOutcome;
+        /// Number of attempts at endpoints that the other entry reports.
+        absl::optional<unsigned> reportedRuns;
+        /// Retry-after time of a refusal by another entry that holds everywhere.
+        absl::optional<std::chrono::milliseconds> reportedRetryAfter;
+        /// The answer carries the ID of this request.
+        bool isForThisRequest { false };
         bool isEventStream { false };
         std::string body;
     };
@@ -83,72 +85,72 @@
     TimePoint now() const { return m_parts.scheduler.clock().now(); }
     std::chrono::milliseconds timeLeft() const;
     bool isAllowedHere() const;
-    bool endsBeforeStop() const;
+    bool canRunBeforeStop() const;
     const RequestFingerprint& fingerprint();
     bool refuseIfCrashing();
-    /// Waits for the outcome of the same request elsewhere where an endpoint has just
-    /// crashed under it.
-    bool waitIfSuspect();
+    /// Delays the request if an endpoint has just crashed while it ran an identical
+    /// one. Returns whether the request is delayed or has been refused.
+    bool holdIfSuspect();
     void beginHold(const CrashingRequests::RecentCrash& crash, const EntryOrder& order, TimePoint time);
-    void refuseEverywhere(std::chrono::milliseconds returnAfter, const char* reason = "crashes_endpoints");
-    void learnCrash(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict);
-    /// Returns the largest part that the request shares with others, if reading
-    /// it again would matter; null otherwise.
-    const PromptPart* sharedPart() const;
-    EndpointDemand demandFor(const PromptPart& part) const;
-    std::vector<PartRegionOption> regionsFor(const PromptPart& part, const std::optional<std::string>& keeper, const ServiceSettings& settings) const;
+    void refuseEverywhere(std::chrono::milliseconds retryAfter, const char* reason = "crashes_endpoints");
+    void recordCrashEvidence(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict);
+    /// Returns the largest prompt segment that the request shares with others, or
+    /// null if it is too short to affect routing.
+    const PromptPart* sharedSegment() const;
+    EndpointDemand demandFor(const PromptPart& segment) const;
+    std::vector<PartRegionOption> regionOptionsFor(const PromptPart& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const;
     const std::string& pickService() const;
     WaitDemand waitDemand() const;
 
     void dispatch();
     bool sendToEndpoint(const std::string& service, bool mayBeTried);
     bool sendToRegion(const std::string& service, const char* why);
-    bool sendToPart();
-    bool sendToEntryOf(const std::string& region, const char* why);
-    std::map<std::string, std::size_t> otherRegions(const std::string& service) const;
-    std::map<std::string, std::size_t> regionsWithRoom(const std::string& service) const;
-    RegionPressure& pressure() const { return m_parts.pressures[m_service]; }
-    bool sendAway();
-    /// Sends or refuses a request that has not been sent yet by what the regions
-    /// say of themselves; false if it is to be tried here or by asking.
-    bool decideFirst();
-    std::optional<Duration> waitAway(const std::string& region) const;
-    Duration longestWaitAnywhere() const;
-    static void noteRead(Attempt& attempt);
-    static void leaveEndpoint(Attempt& attempt);
-    void learnBegin(Attempt& attempt) const;
-    double likelyEvents() const;
-    std::chrono::milliseconds returnAfter() const;
+    bool sendToSegmentRegion();
+    bool sendToEntryIn(const std::string& region, const char* why);
+    std::map<std::string, std::size_t> untriedRegions(const std::string& service) const;
+    std::map<std::string, std::size_t> regionsWithCapacity(const std::string& service) const;
+    RegionPressure& regionAcceptance() const { return m_parts.regionAcceptances[m_service]; }
+    bool forwardIfOverloaded();
+    /// Forwards or refuses the first attempt by the load that the regions report.
+    /// Returns false if the request has been neither forwarded nor refused.
+    bool routeFirstAttempt();
+    std::optional<Duration> expectedWaitIn(const std::string& region) const;
+    Duration maxWait() const;
+    static void clearUnreadTokens(Attempt& attempt);
+    static void releaseEndpoint(Attempt& attempt);
+    void recordAnswerStart(Attempt& attempt) const;
+    double expectedEvents() const;
+    std::chrono::milliseconds retryAfter() const;
     void startAttempt(Attempt attempt, HttpClientRequest request);
-    void listenForGiveUp();
-    void giveUp(GiveUpReason reason);
+    void registerFailureCallback();
+    void onEndpointFailure(GiveUpReason reason);
     RunProgress progress();
     RetryOrder retryOrder() const;
     HttpClientRequest makeRequest(const SocketAddress& server, AttemptFacts facts) const;
 
-    void takeStatements(Attempt& attempt);
+    void extractEntryHeaders(Attempt& attempt);
     unsigned runsOf(const Attempt& attempt) const;
-    void noteHeard(const Attempt& attempt) const;
-    void learnStatements(const Attempt& attempt) const;
+    void recordEndpointActivity(const Attempt& attempt) const;
+    void recordEndpointState(const Attempt& attempt) const;
     void onHead(const HttpResponseHead& head);
     void onBody(absl::string_view bytes);
     void onEnd(const HttpResult& result);
     void abandonAttempt(const char* reason);
     void concludeAttempt(HttpEnd end, bool mayHaveReached, const std::string& detail);
-    void settleAttempt(AttemptVerdict verdict, const std::string& detail);
-    void takeAnswer();
-    void takeFailure(AttemptVerdict verdict);
+    void recordAttemptResult(AttemptVerdict verdict, const std::string& detail);
+    void handleAnswer();
+    void handleFailure(AttemptVerdict verdict);
     NextStep decideNextStep(AttemptVerdict verdict);
 
-    HttpResponseHead withStatements(HttpResponseHead head) const;
+    HttpResponseHead withAttemptsHeader(HttpResponseHead head) const;
     void deliverHead(const HttpResponseHead& head);
     void deliver(std::string bytes);
-    void relieveBackPressure();
-    void answerWhole(const HttpResponseHead& head, std::string body);
-    void answerOwn(int status, Outcome outcome, const char* reason);
-    void cutOff(const char* reason);
-    void deadlinePassed();
-    void clientGone();
+    void resumeReading();
+    void sendAnswer(const HttpResponseHead& head, std::string body);
+    void sendOwnAnswer(int status, Outcome outcome, const char* reason);
+    void abortAnswer(const char* reason);
+    void onDeadline();
+    void onClientClosed();
     void finish(int status, const char* outcome, const char* reason);
 
     IngressParts& m_parts;
@@ -157,7 +159,7 @@
     std::shared_ptr<const RouteTable> m_routes;
     const Route* m_route { nullptr };
     std::string m_service;
-    /// Computed when it is first asked for.
+    /// Computed on first use.
     absl::optional<RequestFingerprint> m_fingerprint;
     TimePoint m_deadline {};
     TimerId m_deadlineTimer { 0 };
@@ -166,15 +168,16 @@
     unsigned m_runs { 0 };
     unsigned m_refusals { 0 };
     bool m_mayHaveRun { false };
-    /// Attempts that may have reached an endpoint; a further one draws on the budget.
-    unsigned m_arrivals { 0 };
-    bool m_lastRan { false };
-    /// When it began to wait for the outcome of the same request.
+    /// Attempts that may have reached an endpoint. After the first, each further
+    /// attempt uses the retry budget.
+    unsigned m_reachedAttempts { 0 };
+    bool m_lastMayHaveRun { false };
+    /// When the request was first delayed because of a crash under an identical one.
     absl::optional<TimePoint> m_heldSince;
-    /// It would have been sent again if the budget had allowed it.
+    /// The request was not retried only because the retry budget was used up.
     bool m_wasDeniedRetry { false };
-    /// Where the last attempt went and why, for logs.
-    std::string m_lastPlace;
+    /// Target of the last attempt and the reason for its choice, for logs.
+    std::string m_lastTarget;
     const char* m_lastWhy { "" };
     bool m_wasRefusedHere { false };
     std::vector<std::string> m_triedEndpoints;
@@ -185,10 +188,10 @@
     bool m_isDone { false };
     bool m_wasTimedOut { false };
     TimePoint m_firstByteAt {};
-    /// Last whole failure of an endpoint, handed on if nothing better comes.
+    /// Last complete error answer of an endpoint, delivered if no retry succeeds.
     absl::optional<HttpResponseHead> m_failureHead;
-    /// When the client is to come back, where that isn't for the load to say.
-    absl::optional<std::chrono::milliseconds> m_returnAfter;
+    /// Retry-after time of a refusal that doesn't depend on the load.
+    absl::optional<std::chrono::milliseconds> m_retryAfter;
     std::string m_failureBody;
 };
 
--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -1,4 +1,5 @@
-// What a request's attempts say of crashes under it, and its wait or refusal for them.
+// Detects endpoint crashes during a request's attempts, and delays or refuses requests
+// that are suspected to cause them.
 #include "catkinwing/Ingress/RoutedRun.h"
 
 #include "catkinwing/Routing/RequestIdentity.h"
@@ -11,11 +12,12 @@
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
 static constexpr int firstErrorStatus = 500;
-/// A request waits this long for the outcome of the same one after a crash under it.
-static constexpr milliseconds longestHold { 400 };
-static constexpr milliseconds holdCheck { 20 };
-/// By then it is mostly known whether the request was to blame.
-static constexpr milliseconds returnAfterHold { 1'000 };
+/// A request waits at most this long for the outcome of an identical one after an
+/// endpoint crashed while running it.
+static constexpr milliseconds maxHoldTime { 400 };
+static constexpr milliseconds holdCheckInterval { 20 };
+/// After this time it is mostly known whether the request caused the crash.
+static constexpr milliseconds retryAfterHold { 1'000 };
 
 const RequestFingerprint& RoutedRun::fingerprint()
 {
@@ -26,8 +28,8 @@
     return *m_fingerprint;
 }
 
-// A request that is bound to other regions is refused there, since nothing of it
-// is known here.
+// A request that is bound to other regions is refused there, since its crashes are
+// not recorded here.
 bool RoutedRun::refuseIfCrashing()
 {
     if (m_parts.crashing.isEmpty() || !isAllowedHere())
@@ -38,7 +40,7 @@
     return left.has_value();
 }
 
-// The time counts over all attempts of the request.
+// The maximum hold time applies to all attempts of the request together.
 void RoutedRun::beginHold(const CrashingRequests::RecentCrash& crash, const EntryOrder& order, TimePoint time)
 {
     m_heldSince = time;
@@ -49,7 +51,7 @@
             { "crash_ms_ago", std::chrono::duration_cast<milliseconds>(time - crash.at).count() }, { "rank", order.rank }, { "entries", order.entries } });
 }
 
-bool RoutedRun::waitIfSuspect()
+bool RoutedRun::holdIfSuspect()
 {
     CrashingRequests& crashing = m_parts.crashing;
     if (crashing.isEmpty() || !isAllowedHere())
@@ -58,43 +60,43 @@
     std::optional<CrashingRequests::RecentCrash> crash = crashing.crashToAwait(fingerprint(), time);
     if (!crash)
         return false;
-    bool ranBeside = crash->isOnlyOwn && m_arrivals > 0;
+    bool isLikelyUnrelated = crash->isOnlyOwn && m_reachedAttempts > 0;
     EntryOrder order = m_parts.entries.orderFor(stableHash(fingerprint()), m_route->homeRegions);
-    Duration wait = ranBeside ? Duration::zero() : crashing.turnOf(fingerprint(), *crash, order, time) - time;
+    Duration wait = isLikelyUnrelated ? Duration::zero() : crashing.turnOf(fingerprint(), *crash, order, time) - time;
     if (wait <= Duration::zero()) {
         crashing.noteTried(fingerprint(), time);
         return false;
     }
     if (!m_heldSince)
         beginHold(*crash, order, time);
-    if (time - *m_heldSince >= longestHold) {
-        refuseEverywhere(returnAfterHold, "crash_unsettled");
+    if (time - *m_heldSince >= maxHoldTime) {
+        refuseEverywhere(retryAfterHold, "crash_unsettled");
         return true;
     }
-    m_parts.scheduler.callAfter(std::min<Duration>(wait, holdCheck), [self = shared_from_this()] {
+    m_parts.scheduler.callAfter(std::min<Duration>(wait, holdCheckInterval), [self = shared_from_this()] {
         if (!self->m_isDone)
             self->dispatch();
     });
     return true;
 }
 
-void RoutedRun::refuseEverywhere(milliseconds returnAfter, const char* reason)
+void RoutedRun::refuseEverywhere(milliseconds retryAfter, const char* reason)
 {
-    m_returnAfter = returnAfter;
+    m_retryAfter = retryAfter;
     if (m_failureHead)
-        answerWhole(*m_failureHead, std::move(m_failureBody));
+        sendAnswer(*m_failureHead, std::move(m_failureBody));
     else if (m_mayHaveRun)
-        answerOwn(statusBadGateway, Outcome::Unknown, reason);
+        sendOwnAnswer(statusBadGateway, Outcome::Unknown, reason);
     else
-        answerOwn(statusUnavailable, Outcome::NotRun, reason);
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, reason);
 }
 
-// A whole answer of another incarnation, or no connection, says that the endpoint
-// is gone; a broken one that it may have crashed.
-void RoutedRun::learnCrash(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict)
+// An answer of another incarnation or a failed connection shows that the endpoint has
+// stopped. A broken or missing answer shows that it may have crashed.
+void RoutedRun::recordCrashEvidence(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict)
 {
     CrashingRequests& crashing = m_parts.crashing;
-    // An answer through another entry is an endpoint's as well.
+    // An answer that another entry relays was also made by an endpoint.
     bool hasSurvived = verdict == AttemptVerdict::Answered && attempt.head->status < firstErrorStatus;
     if (hasSurvived && isAllowedHere())
         crashing.noteSurvived(fingerprint(), now());
--- a/unittests/Ingress/IngressFixture.cpp
+++ b/unittests/Ingress/IngressFixture.cpp
@@ -86,7 +86,7 @@
     return "id: " + std::to_string(id) + "\ndata: x\n\n";
 }
 
-FakeHttpAnswer streamed(const HttpClientRequest& request, const std::vector<int>& ids)
+FakeHttpAnswer streamAnswer(const HttpClientRequest& request, const std::vector<int>& ids)
 {
     FakeHttpAnswer answer = answered(request, 200, "");
     answer.headers.add("content-type", "text/event-stream");
@@ -112,7 +112,7 @@
     ServiceSettings service;
     service.name = "service";
     parts.routes = std::make_shared<const RouteTable>(1, std::vector<Route> { std::move(route) }, std::vector<ServiceSettings> { service }, ClientLimits {});
-    // Requests earn the budget that retries draw on.
+    // The retry budget grows with the number of requests.
     for (int i = 0; i < 50; ++i)
         parts.retryBudgetOf("service").noteRequest(scheduler.clock().now());
 }
@@ -130,7 +130,7 @@
     return route;
 }
 
-Route IngressFixture::stream(bool isResumable)
+Route IngressFixture::streamRoute(bool isResumable)
 {
     Route route = unary(RequestKind::Streaming);
     route.isResumable = isResumable;
@@ -176,7 +176,7 @@
     return responder;
 }
 
-std::string IngressFixture::sent(std::size_t index, absl::string_view name) const
+std::string IngressFixture::sentHeader(std::size_t index, absl::string_view name) const
 {
     const std::string* value = endpointClient.requests.at(index).headers.find(name);
     return value ? *value : "";
