--- a/include/catkinwing/Routing/AnswerTimes.h
+++ b/include/catkinwing/Routing/AnswerTimes.h
@@ -11,15 +11,15 @@
 
 /// Estimated response times of an endpoint.
 struct AnswerEstimate {
-    /// Intercept of the line fitted to the responses: seconds until the first byte
-    /// with no prompt tokens to prefill.
+    /// Intercept of the line that is fitted to the responses: seconds until the
+    /// first byte if the endpoint has no prompt tokens to prefill.
     double secondsAtZero { 0 };
     /// Slope of the line: seconds per thousand prompt tokens to prefill.
     double secondsPerKilotoken { 0 };
     /// Seconds until the first byte at an idle endpoint, from the fastest of the
     /// recent responses.
     double idleSeconds { 0 };
-    /// Seconds for which a request occupies a slot.
+    /// Seconds for which a request occupies a slot of the endpoint.
     double heldSeconds { 0 };
     /// Seconds between two events of a stream.
     double eventSeconds { 0 };
@@ -39,8 +39,10 @@
     /// Seconds until the first byte of the fastest responses; negative before the
     /// first response.
     double idleSeconds { -1 };
+    /// Sums for the mean of the seconds for which a request occupies a slot.
     double slotWeight { 0 };
     double sumSlotSeconds { 0 };
+    /// Sums for the mean of the seconds between two events of a stream.
     double eventWeight { 0 };
     double sumEventSeconds { 0 };
     /// When the time decay was last applied to the sums.
@@ -49,10 +51,11 @@
 
 /// Returns the default estimate of a service without any response.
 AnswerEstimate usualAnswers();
-/// Returns the estimate from \p times, weighted against \p prior. The estimate of
-/// the service serves as the prior of an endpoint: where hundreds of endpoints
-/// share the load, an entry receives one response every few seconds from a given
-/// endpoint, but several a second from the service as a whole.
+/// Returns the estimate from the responses in \p times and from \p prior, which
+/// counts as a few responses. The estimate of the service serves as the prior of an
+/// endpoint: where hundreds of endpoints share the load, an entry receives one
+/// response every few seconds from a given endpoint, but several a second from the
+/// service as a whole.
 AnswerEstimate estimateAnswers(const AnswerTimes& times, const AnswerEstimate& prior, TimePoint now);
 
 /// Records that the first byte of a response arrived after \p took, from an
--- a/include/catkinwing/Routing/CellView.h
+++ b/include/catkinwing/Routing/CellView.h
@@ -52,8 +52,8 @@
     /// summed over the open endpoints.
     unsigned freeCredits(absl::string_view model) const;
 
-    /// Updates for frequent events, cheaper than modify. See the functions of the
-    /// same names in EndpointView.h.
+    /// Apply the functions of the same names in EndpointView.h to an endpoint.
+    /// Cheaper than modify, since these events are frequent.
     void recordDispatch(EndpointHandle handle, double prefillTokens, TimePoint now);
     void recordFirstToken(EndpointHandle handle, double prefillTokens);
     void recordSettled(EndpointHandle handle, TimePoint now);
--- a/include/catkinwing/Routing/CostModel.h
+++ b/include/catkinwing/Routing/CostModel.h
@@ -16,12 +16,13 @@
 
 /// The terms of a predicted time to first token.
 struct CostTerms {
-    /// Prefill of requests that are ahead in the endpoint's queue.
+    /// Time to prefill the requests that are ahead in the endpoint's queue.
     Duration queue { 0 };
-    /// Wait for a slot in the engine.
+    /// Wait until the engine has a free slot.
     Duration slotWait { 0 };
-    /// Prefill of the request's own uncached tokens.
+    /// Time to prefill the request's own uncached tokens.
     Duration prefill { 0 };
+    /// Round-trip time to the endpoint.
     Duration network { 0 };
     Duration adapterLoad { 0 };
     /// Surcharge while the endpoint is in slow start.
--- a/include/catkinwing/Routing/EndpointChoice.h
+++ b/include/catkinwing/Routing/EndpointChoice.h
@@ -60,8 +60,9 @@
 
 /// Chooses among \p candidates. Returns nothing if there are none or all are too
 /// busy. A request with a shared segment goes to the endpoint that caches the
-/// segment, or to the one with the shortest wait if several do. If none does, all
-/// entries choose the same endpoint by hash, without communication. Endpoints
+/// segment, or to the one with the shortest wait if several do. If none does, the
+/// request goes to the owner of the segment (see ownershipScore), which all entries
+/// compute alike without communication. Endpoints
 /// whose wait is far above the mean are not chosen for their segments.
 std::optional<std::size_t> chooseEndpoint(absl::Span<const EndpointCandidate> candidates, const EndpointDemand& demand, Random& random);
 
--- a/include/catkinwing/Routing/EndpointView.h
+++ b/include/catkinwing/Routing/EndpointView.h
@@ -109,7 +109,7 @@
 /// Records the first token of a request that was recorded with \p prefillTokens.
 void recordFirstToken(EndpointView& endpoint, double prefillTokens);
 
-/// Records that a request of this entry ended at \p now, with any outcome.
+/// Records that a request of this entry ended at \p now, whatever its outcome.
 void recordSettled(EndpointView& endpoint, TimePoint now);
 
 /// Records \p report unless it is older than the present one. Adds the requests
--- a/include/catkinwing/Routing/Forwarding.h
+++ b/include/catkinwing/Routing/Forwarding.h
@@ -27,9 +27,9 @@
     std::string region;
     /// When the digest was made, on this process's clock.
     TimePoint digestAt {};
-    /// Random number from [0, 1), drawn again for each digest. Rounds this entry's
-    /// fractional share of the free slots, so that not all entries that use the
-    /// digest round up.
+    /// Random number from [0, 1), drawn again for each digest. Added to this entry's
+    /// share of the free slots before the share is rounded down, so that only some
+    /// of the entries that use the digest round up.
     double digestDither { 0 };
     Duration roundTripTime { 0 };
     bool draining { false };
@@ -163,9 +163,10 @@
     VisitedBefore };
 
 /// Checks a forwarded request at the receiving entry. \p request holds the hop
-/// count and the visited zones of the stamp, and the stricter of the stamp's
-/// residency and that of the receiver's own document. Returns nothing if the
-/// request may be admitted.
+/// count and the visited zones of the stamp, that is, of the headers that the
+/// sending entry added to the request. Its residency is the intersection of the
+/// stamp's residency and the one that the receiving entry's configuration of the
+/// team states. Returns nothing if the request may be admitted.
 std::optional<ForwardRefusal> checkReceivedForward(const RoutingRequest& request, absl::string_view ownZone, absl::string_view ownRegion);
 
 /// Returns the name of \p reason as used in reports, such as "hop-limit".
--- a/include/catkinwing/Routing/OutlierDetector.h
+++ b/include/catkinwing/Routing/OutlierDetector.h
@@ -15,8 +15,8 @@
     /// Consecutive failed connections after which an endpoint is ejected,
     /// regardless of its peers, since it can't serve any request.
     unsigned consecutiveUnreachable { 3 };
-    /// First ejection time of an unreachable endpoint. Doubles with each further
-    /// ejection as unreachable, up to \c baseEjection.
+    /// Duration of the first ejection of an unreachable endpoint. Doubles with each
+    /// further ejection as unreachable, up to \c baseEjection.
     Duration unreachableRetry { std::chrono::seconds(1) };
     /// Consecutive errors that make an endpoint suspect.
     unsigned consecutiveErrors { 5 };
@@ -30,8 +30,8 @@
     unsigned minimumOutcomes { 10 };
     /// Weight of the newest outcome in the exponential moving averages.
     double smoothing { 0.1 };
-    /// Duration of the first ejection. Doubles with each further ejection, up to
-    /// \c maxEjection.
+    /// Duration of the first ejection of an endpoint that is reachable. Doubles with
+    /// each further ejection, up to \c maxEjection.
     Duration baseEjection { std::chrono::seconds(10) };
     Duration maxEjection { std::chrono::minutes(5) };
     /// Time without an ejection after which the count of earlier ejections drops
--- a/include/catkinwing/Routing/PartRegionChoice.h
+++ b/include/catkinwing/Routing/PartRegionChoice.h
@@ -14,8 +14,8 @@
     Duration wait { 0 };
     /// Network delay to the region; zero for the region of this entry.
     Duration way { 0 };
-    /// Whether endpoints of the region probably cache the segment, or the region
-    /// owns a segment that no endpoint caches.
+    /// Whether endpoints of the region probably cache the segment, or no endpoint
+    /// caches it and the endpoint that owns it (see ownershipScore) is in the region.
     bool keepsPart { false };
 };
 
--- a/include/catkinwing/Routing/PartRegions.h
+++ b/include/catkinwing/Routing/PartRegions.h
@@ -8,9 +8,11 @@
 namespace catkinwing {
 
 /// Records to which region the entries of this region last sent each shared prompt
-/// segment. The owner of a segment by hash changes when zones are evacuated and
-/// restored, but the segment stays cached where it was prefilled. Prefilling it
-/// again costs an engine about 0.3 s.
+/// segment. Rendezvous hashing assigns each segment an owner among the endpoints
+/// (see ownershipScore). The owner changes when zones are evacuated or restored,
+/// but the segment stays cached in the region that prefilled it last. A request
+/// sent to the recorded region doesn't have to prefill the segment again, which
+/// would cost an engine about 0.3 s.
 class PartRegions {
 public:
     /// Records that \p segment was sent to the region with the hash \p region.
--- a/include/catkinwing/Routing/RegionChoice.h
+++ b/include/catkinwing/Routing/RegionChoice.h
@@ -40,7 +40,7 @@
     Away,
     /// The wait exceeds the maximum in every region.
     Nowhere,
-    /// Some waits are unknown; the endpoints and regions have to be queried.
+    /// Some waits are unknown, so the endpoints and regions have to be queried.
     Ask,
 };
 
--- a/include/catkinwing/Routing/RegionPressure.h
+++ b/include/catkinwing/Routing/RegionPressure.h
@@ -10,14 +10,14 @@
 namespace catkinwing {
 
 /// Tracks the acceptance of each region for one service: the share of requests
-/// that the region accepts, estimated from its refusals. It is 1 if the region
-/// accepts everything and near 0 if it refuses almost everything.
+/// that the region accepts, estimated from its refusals. The acceptance is 1 if
+/// the region accepts all requests and near 0 if it refuses almost all.
 class RegionPressure {
 public:
     void noteTaken(const std::string& region, TimePoint now);
     void noteRefused(const std::string& region, TimePoint now);
-    /// Returns the acceptance of \p region, between 0 and 1. It recovers with time,
-    /// so that a region that no longer receives requests is tried again.
+    /// Returns the acceptance of \p region, between 0 and 1. The acceptance recovers
+    /// with time, so that a region that no longer receives requests is tried again.
     double readiness(const std::string& region, TimePoint now) const;
 
 private:
@@ -31,8 +31,8 @@
 
 /// Returns whether to forward a request to another region without trying
 /// \p home first. The probability is the share of requests that \p home refuses;
-/// it is zero if \p home refuses few requests or no other region accepts a larger
-/// share.
+/// it is zero if \p home refuses few requests or none of the regions in \p others,
+/// which maps each region to its number of endpoints, accepts a larger share.
 bool shouldSpill(const RegionPressure& tracker, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random);
 
 /// Chooses at random among \p regions, which maps each region to its number of
--- a/include/catkinwing/Routing/ResidencyFilter.h
+++ b/include/catkinwing/Routing/ResidencyFilter.h
@@ -7,7 +7,7 @@
 namespace catkinwing {
 
 /// Regions in which a team's data may be processed. The default allows no region,
-/// so that requests of a team whose document is missing are refused.
+/// so that requests of a team without a known configuration are refused.
 struct Residency {
     /// True if every region is allowed; \c regions is then empty.
     bool anywhere { false };
--- a/lib/Routing/AnswerTimes.cpp
+++ b/lib/Routing/AnswerTimes.cpp
@@ -5,10 +5,10 @@
 
 namespace catkinwing {
 
-/// Defaults before the first response. Known engines prefill 64 to 93 tokens per
-/// millisecond and send the first byte about 0.1 s after the prefill; their steps
-/// for other requests double the prefill time. They produce an event of five to
-/// seven tokens every 25 to 100 ms.
+/// Estimates used for a service without responses. Known engines prefill a thousand
+/// tokens in 11 to 16 ms, and in about twice that time when they also decode other
+/// requests. They send the first byte about 0.1 s after the prefill, and then an
+/// event of five to seven tokens every 25 to 100 ms.
 static constexpr double defaultFirstByteSeconds = 0.12;
 static constexpr double defaultSecondsPerKilotoken = 0.02;
 static constexpr double defaultSlotSeconds = 0.5;
@@ -47,6 +47,8 @@
 /// by a fault or the network and is not the engine's event rate.
 static constexpr double maxEventIntervalSeconds = 1;
 
+// secondsOf and durationOf convert in the same way as toSeconds and fromSeconds of
+// Seconds.h.
 static double secondsOf(Duration duration)
 {
     return std::chrono::duration<double>(duration).count();
--- a/lib/Routing/EndpointChoice.cpp
+++ b/lib/Routing/EndpointChoice.cpp
@@ -57,8 +57,9 @@
     return isSecondBetter ? *candidates[second] : *candidates[first];
 }
 
-// The mean is used rather than the minimum: among many endpoints one is always
-// idle, so the minimum doesn't represent the wait at the others.
+// Returns the wait from which the limit for a shared segment is computed. The mean
+// is used rather than the minimum: among many endpoints one is always idle, so the
+// minimum doesn't represent the wait at the others.
 static Duration meanWait(const Candidates& candidates)
 {
     Duration sum { 0 };
--- a/lib/Routing/RegionPressure.cpp
+++ b/lib/Routing/RegionPressure.cpp
@@ -13,8 +13,9 @@
 static constexpr double recoveryPerSecond = 0.06;
 /// Lower bound after a refusal.
 static constexpr double minAcceptance = 0.03;
-/// Acceptance at or above which no request is spilled, because spilling costs a
-/// round trip between regions.
+/// Acceptance of the home region at or above which no request is forwarded without
+/// trying the home region first, because a forward costs a round trip between
+/// regions.
 static constexpr double spillThreshold = 0.9;
 
 double RegionPressure::readiness(const std::string& region, TimePoint now) const
--- a/unittests/Routing/RegionPressureTest.cpp
+++ b/unittests/Routing/RegionPressureTest.cpp
@@ -22,7 +22,7 @@
 }
 
 // Simulates a region that sustains about half of the requests offered to it.
-TEST_CASE("load beyond a region's capacity is spilled, which limits the number of refusals")
+TEST_CASE("load beyond a region's capacity is forwarded, which limits the number of refusals")
 {
     RegionPressure tracker;
     Random random(5);
@@ -51,7 +51,7 @@
     CHECK(refused < 50 * 100 / 2);
 }
 
-TEST_CASE("nothing is spilled if the other regions refuse as much, or there are none")
+TEST_CASE("nothing is forwarded if the other regions refuse as much, or there are none")
 {
     RegionPressure tracker;
     Random random(5);
@@ -67,7 +67,7 @@
     CHECK_FALSE(chooseSpillRegion(tracker, {}, now, random));
 }
 
-TEST_CASE("spilled requests are distributed by number of endpoints and acceptance")
+TEST_CASE("forwarded requests are distributed by number of endpoints and acceptance")
 {
     RegionPressure tracker;
     Random random(5);
