--- a/include/catkinwing/Routing/CostModel.h
+++ b/include/catkinwing/Routing/CostModel.h
@@ -35,7 +35,7 @@
 
 /// Estimates the requests in flight at \p endpoint, from this entry and, if the
 /// load report is recent enough, from other entries.
-unsigned believedInFlight(const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now);
+unsigned estimatedInFlight(const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now);
 
 /// Predicts the time to first token of a request at \p endpoint.
 CostTerms predictTimeToFirstToken(const EndpointView& endpoint, const CostInputs& inputs, const RoutingPolicy& policy, TimePoint now);
--- a/include/catkinwing/Routing/EndpointLifecycle.h
+++ b/include/catkinwing/Routing/EndpointLifecycle.h
@@ -63,7 +63,7 @@
     void remove(absl::string_view endpoint);
 
 private:
-    struct Entry {
+    struct TrackedEndpoint {
         LifecycleStatus present;
         /// Whether the endpoint itself has reported the present incarnation.
         bool confirmed { false };
@@ -71,9 +71,9 @@
         std::vector<LifecycleStatus> replaced;
     };
 
-    LifecycleChange recordOtherIncarnation(Entry& entry, const LifecycleSign& report, TimePoint now) const;
+    LifecycleChange recordOtherIncarnation(TrackedEndpoint& tracked, const LifecycleSign& report, TimePoint now) const;
 
-    absl::flat_hash_map<std::string, Entry> m_entries;
+    absl::flat_hash_map<std::string, TrackedEndpoint> m_endpoints;
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/OutlierDetector.h
+++ b/include/catkinwing/Routing/OutlierDetector.h
@@ -17,7 +17,7 @@
     unsigned consecutiveUnreachable { 3 };
     /// Duration of the first ejection of an unreachable endpoint. Doubles with each
     /// further ejection as unreachable, up to \c baseEjection.
-    Duration unreachableRetry { std::chrono::seconds(1) };
+    Duration baseUnreachableEjection { std::chrono::seconds(1) };
     /// Consecutive errors that make an endpoint suspect.
     unsigned consecutiveErrors { 5 };
     /// Error rate (0 to 1) that makes an endpoint suspect.
@@ -100,7 +100,7 @@
     double weight(absl::string_view endpoint, TimePoint now) const;
 
 private:
-    struct Entry {
+    struct TrackedEndpoint {
         std::string peerGroup;
         std::string incarnation;
         unsigned unreachableInARow { 0 };
@@ -120,19 +120,19 @@
         std::optional<TimePoint> reinstatedAt;
         TimePoint healthySince {};
     };
-    using Group = std::vector<std::pair<std::string, Entry*>>;
+    using Group = std::vector<std::pair<std::string, TrackedEndpoint*>>;
 
-    Entry& entry(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now);
-    std::optional<EjectionCause> ejectionCause(const Entry& entry, std::optional<double> medianLatency) const;
+    TrackedEndpoint& findOrAdd(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now);
+    std::optional<EjectionCause> ejectionCause(const TrackedEndpoint& tracked, std::optional<double> medianLatency) const;
     std::optional<double> medianLatency(const Group& group) const;
     void evaluateGroup(Group& group, TimePoint now, std::vector<EjectionChange>& changes);
     void ejectUnreachable(Group& group, TimePoint now, std::vector<EjectionChange>& changes) const;
-    void eject(Entry& entry, TimePoint now) const;
-    void endEjection(Entry& entry, TimePoint now) const;
-    void decayEjections(Entry& entry, TimePoint now) const;
+    void eject(TrackedEndpoint& tracked, TimePoint now) const;
+    void endEjection(TrackedEndpoint& tracked, TimePoint now) const;
+    void decayEjections(TrackedEndpoint& tracked, TimePoint now) const;
 
     OutlierPolicy m_policy;
-    absl::flat_hash_map<std::string, std::unique_ptr<Entry>> m_entries;
+    absl::flat_hash_map<std::string, std::unique_ptr<TrackedEndpoint>> m_endpoints;
 };
 
 } // namespace catkinwing
--- a/lib/Routing/CostModel.cpp
+++ b/lib/Routing/CostModel.cpp
@@ -10,7 +10,7 @@
     return endpoint.report && now - endpoint.report->measuredAt <= policy.maxReportAge;
 }
 
-unsigned believedInFlight(const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now)
+unsigned estimatedInFlight(const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now)
 {
     if (!hasFreshReport(endpoint, policy, now))
         return endpoint.ownInFlight;
@@ -35,7 +35,7 @@
 
 CostTerms predictTimeToFirstToken(const EndpointView& endpoint, const CostInputs& inputs, const RoutingPolicy& policy, TimePoint now)
 {
-    unsigned inFlight = believedInFlight(endpoint, policy, now);
+    unsigned inFlight = estimatedInFlight(endpoint, policy, now);
     double occupancy = std::min(1.0, static_cast<double>(inFlight) / std::max(endpoint.slots, 1U));
     double secondsPerToken = (1 + policy.batchSlowdown * occupancy) / std::max(endpoint.prefillTokensPerSecond, 1.0);
 
--- a/lib/Routing/EndpointLifecycle.cpp
+++ b/lib/Routing/EndpointLifecycle.cpp
@@ -28,55 +28,55 @@
 
 LifecycleChange EndpointLifecycle::record(const LifecycleSign& report, TimePoint now)
 {
-    auto [known, added] = m_entries.try_emplace(report.endpoint);
-    Entry& entry = known->second;
+    auto [known, added] = m_endpoints.try_emplace(report.endpoint);
+    TrackedEndpoint& tracked = known->second;
     bool fromEndpoint = report.source == LifecycleSource::Endpoint;
     if (added) {
-        entry.present = makeStatus(report, now);
-        entry.confirmed = fromEndpoint;
+        tracked.present = makeStatus(report, now);
+        tracked.confirmed = fromEndpoint;
         return LifecycleChange::Started;
     }
-    if (report.incarnation != entry.present.incarnation)
-        return recordOtherIncarnation(entry, report, now);
-    entry.confirmed = entry.confirmed || fromEndpoint;
-    bool wasLeaving = entry.present.leaving;
-    recordLeaving(entry.present, report, now);
-    return entry.present.leaving && !wasLeaving ? LifecycleChange::Leaving : LifecycleChange::None;
+    if (report.incarnation != tracked.present.incarnation)
+        return recordOtherIncarnation(tracked, report, now);
+    tracked.confirmed = tracked.confirmed || fromEndpoint;
+    bool wasLeaving = tracked.present.leaving;
+    recordLeaving(tracked.present, report, now);
+    return tracked.present.leaving && !wasLeaving ? LifecycleChange::Leaving : LifecycleChange::None;
 }
 
-LifecycleChange EndpointLifecycle::recordOtherIncarnation(Entry& entry, const LifecycleSign& report, TimePoint now) const
+LifecycleChange EndpointLifecycle::recordOtherIncarnation(TrackedEndpoint& tracked, const LifecycleSign& report, TimePoint now) const
 {
     bool fromEndpoint = report.source == LifecycleSource::Endpoint;
     auto isSameIncarnation = [&report](const LifecycleStatus& status) { return status.incarnation == report.incarnation; };
-    auto former = std::find_if(entry.replaced.begin(), entry.replaced.end(), isSameIncarnation);
-    if (former != entry.replaced.end() && !fromEndpoint) {
+    auto former = std::find_if(tracked.replaced.begin(), tracked.replaced.end(), isSameIncarnation);
+    if (former != tracked.replaced.end() && !fromEndpoint) {
         recordLeaving(*former, report, now);
         return LifecycleChange::None;
     }
     // A live incarnation that the endpoint itself has reported takes precedence
     // over an unconfirmed new one: an outdated list may name an earlier incarnation.
-    if (former == entry.replaced.end() && !fromEndpoint && entry.confirmed && !entry.present.leaving)
+    if (former == tracked.replaced.end() && !fromEndpoint && tracked.confirmed && !tracked.present.leaving)
         return LifecycleChange::None;
     LifecycleStatus next = makeStatus(report, now);
-    if (former != entry.replaced.end()) {
+    if (former != tracked.replaced.end()) {
         // The endpoint itself reports the replaced incarnation, which overrides
         // its replacement. The state of the incarnation is restored, including
         // whether it is leaving.
         next = *former;
         recordLeaving(next, report, now);
-        entry.replaced.erase(former);
+        tracked.replaced.erase(former);
     }
-    entry.replaced.push_back(std::exchange(entry.present, std::move(next)));
-    if (entry.replaced.size() > maxReplaced)
-        entry.replaced.erase(entry.replaced.begin());
-    entry.confirmed = fromEndpoint;
+    tracked.replaced.push_back(std::exchange(tracked.present, std::move(next)));
+    if (tracked.replaced.size() > maxReplaced)
+        tracked.replaced.erase(tracked.replaced.begin());
+    tracked.confirmed = fromEndpoint;
     return LifecycleChange::Started;
 }
 
 const LifecycleStatus* EndpointLifecycle::status(absl::string_view endpoint) const
 {
-    auto known = m_entries.find(endpoint);
-    return known == m_entries.end() ? nullptr : &known->second.present;
+    auto known = m_endpoints.find(endpoint);
+    return known == m_endpoints.end() ? nullptr : &known->second.present;
 }
 
 bool EndpointLifecycle::acceptsRequests(absl::string_view endpoint) const
@@ -87,7 +87,7 @@
 
 void EndpointLifecycle::remove(absl::string_view endpoint)
 {
-    m_entries.erase(endpoint);
+    m_endpoints.erase(endpoint);
 }
 
 } // namespace catkinwing
--- a/lib/Routing/OutlierDetector.cpp
+++ b/lib/Routing/OutlierDetector.cpp
@@ -14,11 +14,11 @@
 {
 }
 
-OutlierDetector::Entry& OutlierDetector::entry(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now)
+OutlierDetector::TrackedEndpoint& OutlierDetector::findOrAdd(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now)
 {
-    auto& known = m_entries[endpoint];
+    auto& known = m_endpoints[endpoint];
     if (!known || known->incarnation != incarnation) {
-        known = std::make_unique<Entry>();
+        known = std::make_unique<TrackedEndpoint>();
         known->incarnation = std::string(incarnation);
         known->healthySince = now;
     }
@@ -28,17 +28,17 @@
 
 void OutlierDetector::add(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now)
 {
-    entry(endpoint, peerGroup, incarnation, now);
+    findOrAdd(endpoint, peerGroup, incarnation, now);
 }
 
 void OutlierDetector::remove(absl::string_view endpoint)
 {
-    m_entries.erase(endpoint);
+    m_endpoints.erase(endpoint);
 }
 
 void OutlierDetector::record(const EndpointOutcome& outcome, TimePoint now)
 {
-    Entry& known = entry(outcome.endpoint, outcome.peerGroup, outcome.incarnation, now);
+    TrackedEndpoint& known = findOrAdd(outcome.endpoint, outcome.peerGroup, outcome.incarnation, now);
     // These are late outcomes of requests sent before the ejection.
     if (known.ejected)
         return;
@@ -59,7 +59,7 @@
 std::vector<EjectionChange> OutlierDetector::evaluate(TimePoint now)
 {
     std::map<std::string, Group> groups;
-    for (auto& [endpoint, known] : m_entries)
+    for (auto& [endpoint, known] : m_endpoints)
         groups[known->peerGroup].emplace_back(endpoint, known.get());
     std::vector<EjectionChange> changes;
     for (auto& [name, group] : groups) {
@@ -83,13 +83,13 @@
     return *middle;
 }
 
-std::optional<EjectionCause> OutlierDetector::ejectionCause(const Entry& entry, std::optional<double> medianLatency) const
+std::optional<EjectionCause> OutlierDetector::ejectionCause(const TrackedEndpoint& tracked, std::optional<double> medianLatency) const
 {
-    if (entry.errorsInARow >= m_policy.consecutiveErrors)
+    if (tracked.errorsInARow >= m_policy.consecutiveErrors)
         return EjectionCause::ConsecutiveErrors;
-    if (entry.outcomes >= m_policy.minimumOutcomes && entry.errorRate >= m_policy.errorRate)
+    if (tracked.outcomes >= m_policy.minimumOutcomes && tracked.errorRate >= m_policy.errorRate)
         return EjectionCause::ErrorRate;
-    if (medianLatency && entry.latencies >= m_policy.minimumOutcomes && entry.latencySeconds > m_policy.latencyFactor * *medianLatency)
+    if (medianLatency && tracked.latencies >= m_policy.minimumOutcomes && tracked.latencySeconds > m_policy.latencyFactor * *medianLatency)
         return EjectionCause::Latency;
     return std::nullopt;
 }
@@ -105,7 +105,7 @@
     }
     ejectUnreachable(group, now, changes);
     std::optional<double> median = medianLatency(group);
-    std::vector<std::pair<std::string, Entry*>> suspects;
+    std::vector<std::pair<std::string, TrackedEndpoint*>> suspects;
     std::size_t ejectedCount = 0;
     for (auto& [endpoint, known] : group) {
         if (known->ejected)
@@ -146,7 +146,7 @@
     for (auto& [endpoint, known] : group) {
         if (known->ejected || known->unreachableInARow < m_policy.consecutiveUnreachable)
             continue;
-        Duration duration = m_policy.unreachableRetry;
+        Duration duration = m_policy.baseUnreachableEjection;
         for (unsigned i = 0; i < known->unreachableEjections && duration < m_policy.baseEjection; ++i)
             duration *= 2;
         known->unreachableEjections += 1;
@@ -159,49 +159,49 @@
     group.erase(std::remove_if(group.begin(), group.end(), isUnreachable), group.end());
 }
 
-void OutlierDetector::eject(Entry& entry, TimePoint now) const
+void OutlierDetector::eject(TrackedEndpoint& tracked, TimePoint now) const
 {
     Duration duration = m_policy.baseEjection;
-    for (unsigned i = 0; i < entry.ejections && duration < m_policy.maxEjection; ++i)
+    for (unsigned i = 0; i < tracked.ejections && duration < m_policy.maxEjection; ++i)
         duration *= 2;
-    entry.ejections += 1;
-    entry.ejected = true;
-    entry.ejectedUntil = now + std::min(duration, m_policy.maxEjection);
+    tracked.ejections += 1;
+    tracked.ejected = true;
+    tracked.ejectedUntil = now + std::min(duration, m_policy.maxEjection);
 }
 
-void OutlierDetector::endEjection(Entry& entry, TimePoint now) const
+void OutlierDetector::endEjection(TrackedEndpoint& tracked, TimePoint now) const
 {
     // One more failed connection ejects an unreachable endpoint again.
-    entry.unreachableInARow = entry.unreachable ? m_policy.consecutiveUnreachable - 1 : 0;
-    entry.unreachable = false;
-    entry.ejected = false;
-    entry.reinstatedAt = now;
-    entry.healthySince = now;
+    tracked.unreachableInARow = tracked.unreachable ? m_policy.consecutiveUnreachable - 1 : 0;
+    tracked.unreachable = false;
+    tracked.ejected = false;
+    tracked.reinstatedAt = now;
+    tracked.healthySince = now;
     // Outcomes from before the ejection must not cause another one.
-    entry.errorsInARow = 0;
-    entry.outcomes = 0;
-    entry.errorRate = 0;
-    entry.latencies = 0;
+    tracked.errorsInARow = 0;
+    tracked.outcomes = 0;
+    tracked.errorRate = 0;
+    tracked.latencies = 0;
 }
 
-void OutlierDetector::decayEjections(Entry& entry, TimePoint now) const
+void OutlierDetector::decayEjections(TrackedEndpoint& tracked, TimePoint now) const
 {
-    if (entry.ejected || entry.ejections == 0 || now - entry.healthySince < m_policy.ejectionDecayInterval)
+    if (tracked.ejected || tracked.ejections == 0 || now - tracked.healthySince < m_policy.ejectionDecayInterval)
         return;
-    entry.ejections -= 1;
-    entry.healthySince = now;
+    tracked.ejections -= 1;
+    tracked.healthySince = now;
 }
 
 bool OutlierDetector::isEjected(absl::string_view endpoint) const
 {
-    auto known = m_entries.find(endpoint);
-    return known != m_entries.end() && known->second->ejected;
+    auto known = m_endpoints.find(endpoint);
+    return known != m_endpoints.end() && known->second->ejected;
 }
 
 double OutlierDetector::weight(absl::string_view endpoint, TimePoint now) const
 {
-    auto known = m_entries.find(endpoint);
-    if (known == m_entries.end())
+    auto known = m_endpoints.find(endpoint);
+    if (known == m_endpoints.end())
         return 1;
     if (known->second->ejected)
         return 0;
--- a/lib/Routing/PrefixIndex.cpp
+++ b/lib/Routing/PrefixIndex.cpp
@@ -116,12 +116,13 @@
 
 std::vector<CachedPrefix> PrefixIndex::cachedTokens(absl::Span<const std::uint64_t> hashes) const
 {
-    struct Reach {
-        float blocks;
+    struct CachedDepth {
+        // Number of cached blocks, each weighted by its confidence.
+        float weightedBlocks;
         std::uint32_t depth;
     };
     std::vector<CachedPrefix> found;
-    std::vector<Reach> reached(m_eventStreams.size(), Reach { 0, 0 });
+    std::vector<CachedDepth> cachedDepths(m_eventStreams.size(), CachedDepth { 0, 0 });
     for (std::size_t depth = 1; depth <= hashes.size(); depth = nextDepth(depth)) {
         auto known = m_nodeOf.find(hashes[depth - 1]);
         // Shorter prefixes are evicted last, so no deeper one is recorded either.
@@ -131,17 +132,17 @@
             double weight = confidence(holder);
             if (weight == 0)
                 continue;
-            Reach& reach = reached[holder.endpoint];
-            if (reach.depth == 0)
+            CachedDepth& cached = cachedDepths[holder.endpoint];
+            if (cached.depth == 0)
                 found.push_back({ holder.endpoint, 0 });
             // An endpoint that has this block cached also has all blocks before
-            // it, even if it is not among their recorded holders.
-            reach.blocks += static_cast<float>(weight * static_cast<double>(depth - reach.depth));
-            reach.depth = static_cast<std::uint32_t>(depth);
+            // it, even if the endpoint is not among their recorded holders.
+            cached.weightedBlocks += static_cast<float>(weight * static_cast<double>(depth - cached.depth));
+            cached.depth = static_cast<std::uint32_t>(depth);
         }
     }
     for (CachedPrefix& prefix : found)
-        prefix.tokens = reached[prefix.endpoint].blocks * m_policy.tokensPerBlock;
+        prefix.tokens = cachedDepths[prefix.endpoint].weightedBlocks * m_policy.tokensPerBlock;
     return found;
 }
 
--- a/unittests/Routing/EndpointViewTest.cpp
+++ b/unittests/Routing/EndpointViewTest.cpp
@@ -60,9 +60,9 @@
     }
     // Six own requests and one of another entry, recorded two seconds late.
     recordReport(endpoint, { start + 1s, 7, 0, 0 });
-    CHECK(believedInFlight(endpoint, {}, start + 3s) == 7);
+    CHECK(estimatedInFlight(endpoint, {}, start + 3s) == 7);
     recordSettled(endpoint, start + 3s);
-    CHECK(believedInFlight(endpoint, {}, start + 3s) == 6);
+    CHECK(estimatedInFlight(endpoint, {}, start + 3s) == 6);
     CHECK(predictTimeToFirstToken(endpoint, {}, {}, start + 3s).slotWait == Duration::zero());
 }
 
