--- a/include/catkinwing/Admission/AdmissionController.h
+++ b/include/catkinwing/Admission/AdmissionController.h
@@ -8,45 +8,49 @@
 
 namespace catkinwing {
 
-/// What the controller does with a daemon's requests, one after the other:
-/// admit, next, finished. Holds no clock and does no I/O.
+/// Decides which of a daemon's requests are queued, refused and started. A request
+/// passes through admit(), next() and finished(). Reads no clock and does no I/O.
 class AdmissionController {
 public:
     explicit AdmissionController(const AdmissionLimits& limits = {}, const SharePolicy& shares = {}, const ReservationPolicy& reservation = {});
 
-    /// Puts policies in force; what lost its team or class is to be answered at once.
+    /// Applies the teams' policies. Returns the waiting requests whose team or class
+    /// was removed; the caller answers them at once.
     std::vector<DroppedRequest> configure(const std::vector<TeamPolicy>& teams, TimePoint now);
-    /// Changes the daemon's bounds; a queue that is over them shrinks by service.
+    /// Sets the daemon's limits. A queue that exceeds new limits is not evicted; it
+    /// shrinks as its requests are started.
     void setLimits(const AdmissionLimits& limits) { m_limits = limits; }
-    /// Tells the slots this daemon may use in a pool; without a word of it no
-    /// slots are reserved in the pool.
+    /// Sets the number of slots that this daemon may use in a pool. Until it is set,
+    /// no slots are reserved in the pool.
     void setSlots(const std::string& pool, std::size_t total);
 
     /// Queues or refuses a request.
     AdmissionDecision admit(QueuedRequest request, TimePoint now);
-    /// Returns the request to start now and counts it as in flight; never one that
-    /// can no longer make its deadline, which expire() returns. \p canStart
-    /// says whether a model has a free slot; reservations and the teams' limits
-    /// are looked after here.
+    /// Returns the request to start now and counts it as in flight. Never returns a
+    /// request that can no longer meet its deadline; expire() returns those.
+    /// \p canStart says whether a model has a free slot; the controller applies
+    /// slot reservations and the teams' limits.
     std::optional<QueuedRequest> next(const CanStart& canStart, TimePoint now);
-    /// Puts back a request from next() that no endpoint took, at no charge; false
-    /// if its team or class is gone, so that it is to be answered.
+    /// Queues a request from next() again that no endpoint accepted, at no charge.
+    /// Returns false if its team or class was removed; the caller then answers it.
     bool putBack(RequestId id, TimePoint now);
-    /// Ends a request from next() and settles it at \p actualCost tokens; zero if
-    /// it was not run.
+    /// Ends a request from next() and corrects its charge to \p actualCost tokens, which
+    /// is zero if the request was not run.
     void finished(RequestId id, double actualCost, TimePoint now);
-    /// Takes out a waiting request whose caller is gone; false if it isn't waiting.
+    /// Removes a waiting request whose caller disconnected; returns false if the
+    /// request isn't waiting.
     bool remove(RequestId id, TimePoint now);
-    /// Returns what can no longer make its deadline, to be answered at once. Also
-    /// renews the shares each half second, so a timer calls it as well.
+    /// Returns the requests that can no longer meet their deadlines; the caller answers
+    /// them at once. Also refreshes the shares at most every half second, so a timer
+    /// has to call it too.
     std::vector<DroppedRequest> expire(TimePoint now);
 
     /// Returns the predicted wait of a request if it were queued now; empty if
     /// no drain rate is known yet.
     std::optional<Duration> predictedWait(const QueuedRequest& request, TimePoint now) const { return m_queue.predictedWait(request, now); }
-    /// Takes in a counter of another daemon of the region.
+    /// Applies a service counter reported by another daemon of the region.
     void applyRemoteService(const ServiceSource& source, const ServiceCounter& counter, TimePoint now) { m_queue.applyRemoteService(source, counter, now); }
-    /// Forgets a daemon that is gone.
+    /// Removes the counters of a daemon that left the region.
     void forgetSource(const std::string& source) { m_queue.forgetSource(source); }
     /// Returns this daemon's own counters, for the heartbeat.
     std::vector<ServiceCounter> servedCounters() const { return m_queue.servedCounters(); }
@@ -92,7 +96,7 @@
     absl::flat_hash_map<std::string, TeamState> m_teams;
     absl::flat_hash_map<std::string, PoolState> m_pools;
     absl::flat_hash_map<RequestId, QueuedRequest> m_inFlight;
-    /// Found late by next() and not yet returned by expire().
+    /// Expired requests found by next() and not yet returned by expire().
     std::vector<DroppedRequest> m_expired;
 };
 
--- a/include/catkinwing/Admission/AdmissionDecision.h
+++ b/include/catkinwing/Admission/AdmissionDecision.h
@@ -6,7 +6,8 @@
 
 namespace catkinwing {
 
-/// Why a request was not run. Each is provably before any byte left the daemon.
+/// Why a request was not run. Every reason applies before any byte of the request is
+/// sent to an endpoint.
 enum class RefusalReason {
     /// No accepted policy names the team.
     UnknownTeam,
@@ -14,23 +15,24 @@
     UnknownClass,
     /// The identifier is already queued or in flight.
     DuplicateId,
-    /// The team's requests a second are used up.
+    /// The team exceeds its request rate.
     RequestRate,
-    /// The caller has as many requests open as one caller may.
+    /// The caller has reached the limit of open requests per caller.
     CallerConcurrency,
-    /// The team has as many requests queued as it may.
+    /// The team has reached its limit of queued requests.
     TeamQueueFull,
-    /// The daemon's queue is full by count, and no other request has less right.
+    /// The daemon's queue is full by request count, and no queued request ranks lower.
     QueueFull,
-    /// The daemon's queue is full by bytes, and no other request has less right.
+    /// The daemon's queue is full by bytes, and evicting queued requests that rank
+    /// lower doesn't free enough.
     QueueBytesFull,
-    /// It would be served after its deadline.
+    /// The request is predicted to start too late for its deadline.
     PredictedLate,
-    /// It waited until it could no longer make its deadline.
+    /// The request waited until it could no longer meet its deadline.
     Expired,
-    /// It gave way to a request with more right when the queue was full.
+    /// The request was evicted from a full queue by a request that ranks higher.
     Evicted,
-    /// Its team or class vanished from the configuration while it waited.
+    /// The team or class was removed from the configuration while the request waited.
     PolicyRemoved,
 };
 
@@ -40,23 +42,23 @@
 /// A request that will not be run.
 struct Refusal {
     RefusalReason reason { RefusalReason::UnknownTeam };
-    /// When coming back is expected to help; empty if waiting alone doesn't
-    /// help or nothing is known.
+    /// Time after which a retry is expected to be admitted; empty if waiting alone
+    /// doesn't help or no estimate is available.
     std::optional<Duration> retryAfter;
 };
 
-/// A request taken back out of the queue, to be answered `not-run` at once.
+/// A request removed from the queue; the caller answers it `not-run` at once.
 struct DroppedRequest {
     QueuedRequest request;
     Refusal refusal;
 };
 
-/// What became of a request offered to the queue.
+/// Result of admitting a request.
 struct AdmissionDecision {
-    /// Why it was refused; empty if it was queued.
+    /// Why the request was refused; empty if it was queued.
     std::optional<Refusal> refusal;
-    /// Others that had to give way, to be answered at once; where that didn't
-    /// make room enough, the request is refused all the same.
+    /// Requests evicted from the queue; the caller answers them at once. The request
+    /// may still be refused if the evictions free too little space.
     std::vector<DroppedRequest> dropped;
 
     bool admitted() const { return !refusal; }
--- a/include/catkinwing/Admission/AdmissionLimits.h
+++ b/include/catkinwing/Admission/AdmissionLimits.h
@@ -7,33 +7,34 @@
 
 namespace catkinwing {
 
-/// Limit that never binds.
+/// Value of a count limit that stands for no limit.
 constexpr std::size_t unlimitedCount = std::numeric_limits<std::size_t>::max();
 
-/// Bounds of the whole daemon.
+/// Limits of the whole daemon.
 struct AdmissionLimits {
     std::size_t queuedRequests { 4096 };
     std::size_t queuedBytes { std::size_t { 64 } << 20 };
 };
 
-/// Bounds of one team in this daemon.
+/// Limits of one team in this daemon.
 struct TeamLimits {
-    /// Requests started and not finished; more than these wait.
+    /// Maximum number of requests started and not finished; further requests wait.
     std::size_t inFlight { unlimitedCount };
-    /// Requests waiting; more than these are refused.
+    /// Maximum number of waiting requests; further requests are refused.
     std::size_t queued { unlimitedCount };
-    /// Requests of one caller, waiting or in flight; more are refused.
+    /// Maximum number of one caller's requests, waiting or in flight; further requests
+    /// are refused.
     std::size_t perCaller { unlimitedCount };
     /// Sustained requests a second; zero stands for no limit.
     double requestsPerSecond { 0 };
-    /// Requests that may come at once on top of the sustained rate.
+    /// Burst size in requests on top of the sustained rate.
     double burst { 1 };
 };
 
 /// Policy of one class of request in a team.
 struct ClassPolicy {
     std::string name;
-    /// Share of the team's service against its other classes; above zero.
+    /// Weight of the class relative to the team's other classes; above zero.
     double weight { 1 };
     WorkKind kind { WorkKind::Short };
 };
@@ -41,22 +42,23 @@
 /// Policy of one team.
 struct TeamPolicy {
     std::string name;
-    /// Share of each pool's service against the other teams; above zero.
+    /// Weight of the team relative to the other teams in each pool; above zero.
     double weight { 1 };
     std::vector<ClassPolicy> classes;
     TeamLimits limits;
 };
 
-/// Constants of the fair shares; the sources say how each was chosen.
+/// Time constants of the fair shares.
 struct SharePolicy {
-    /// Smoothing of the served-token rates that split a team's weight among
-    /// the daemons of a region.
+    /// Smoothing time of the served-token rates by which a team's weight is split
+    /// among the daemons of a region.
     Duration rateSmoothing { std::chrono::seconds(2) };
-    /// How long a peer's last rate is believed without a word from it.
+    /// Time after a peer's last report for which its last rate still counts.
     Duration peerSilence { std::chrono::seconds(3) };
-    /// How long after its last served request a peer still counts as serving a team.
+    /// Time after its last served request for which a peer still counts as serving a
+    /// team.
     Duration peerIdle { std::chrono::seconds(10) };
-    /// Longest wait for which a team that couldn't be served is made good.
+    /// Maximum time for which a backlogged team that couldn't be served is compensated.
     Duration creditWindow { std::chrono::seconds(5) };
 };
 
--- a/include/catkinwing/Admission/DeadlineQueue.h
+++ b/include/catkinwing/Admission/DeadlineQueue.h
@@ -6,19 +6,19 @@
 
 namespace catkinwing {
 
-/// Requests of one class and model, earliest deadline first; among equals the
-/// lowest identifier first. Doesn't own the requests.
+/// Requests of one class, model and kind, ordered by deadline and then by identifier.
+/// Doesn't own the requests.
 class DeadlineQueue {
 public:
     void add(const QueuedRequest& request);
     void remove(const QueuedRequest& request);
-    /// Returns the request with the earliest deadline; must not be empty.
+    /// Returns the request with the earliest deadline; the queue must not be empty.
     const QueuedRequest& front() const { return *m_requests.begin()->second; }
     bool empty() const { return m_requests.empty(); }
     /// Returns the cost of all requests in tokens.
     double cost() const { return m_cost; }
-    /// Returns about the cost of the requests due no later than \p deadline; an
-    /// estimate where more than a few dozen are due later.
+    /// Returns the cost in tokens of the requests due no later than \p deadline. The
+    /// cost is estimated if more than a few dozen requests are due later.
     double costAhead(TimePoint deadline) const;
 
 private:
--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -11,12 +11,13 @@
 
 namespace catkinwing {
 
-/// Says whether a request could be started now. The answer may depend on the
-/// request's pool, model and kind alone: it is asked once for each of these.
+/// Returns whether a request could be started now. The result may depend only on the
+/// request's pool, model and kind, since it is called once per combination of these.
 using CanStart = std::function<bool(const QueuedRequest&)>;
 
-/// The waiting requests of one daemon, served by weighted virtual-token counters
-/// for each pool, team, then class, and by earliest deadline within a class.
+/// The waiting requests of one daemon. Each pool is shared among teams, and each
+/// team's share among its classes, by weighted virtual-token counters; within a class
+/// the earliest deadline goes first.
 class FairQueue {
 public:
     explicit FairQueue(const SharePolicy& policy = {});
@@ -24,35 +25,35 @@
     FairQueue(const FairQueue&) = delete;
     FairQueue& operator=(const FairQueue&) = delete;
 
-    /// Puts the teams' policies in force. Queued work of a team or class that
-    /// vanished is handed back; weights of the others change at once.
+    /// Applies the teams' policies. Removes and returns the queued requests of teams and
+    /// classes that are no longer configured; other weights change at once.
     std::vector<QueuedRequest> configure(const std::vector<TeamPolicy>& teams, TimePoint now);
 
     /// Queues a request of a configured team and class; false if either is
     /// unknown or the identifier is queued already.
     bool enqueue(QueuedRequest request, TimePoint now);
-    /// Takes out the request that goes next of those that can start, and charges
-    /// its estimated cost.
+    /// Removes and returns the next request of those that can start, and charges its
+    /// estimated cost.
     std::optional<QueuedRequest> pickNext(const CanStart& canStart, TimePoint now);
-    /// Corrects the charge of a picked request once its real cost is known; a
-    /// request that never started cost nothing.
+    /// Corrects the charge of a picked request once its actual cost is known; the cost
+    /// of a request that never started is zero.
     void settle(const QueuedRequest& request, double actualCost, TimePoint now);
-    /// Takes out a request whose caller is gone; empty if it isn't queued.
+    /// Removes and returns a request whose caller disconnected; empty if it isn't queued.
     std::optional<QueuedRequest> remove(RequestId id, TimePoint now);
-    /// Takes out all that can no longer make their deadline.
+    /// Removes and returns the requests that can no longer meet their deadlines.
     std::vector<QueuedRequest> expire(TimePoint now);
-    /// Takes out the request with the least right: of the team that holds most
-    /// of the queue for its weight, and of that its largest class, the latest.
-    /// Empty if \p newcomer would itself be that.
+    /// Evicts and returns the request that ranks lowest: the one with the latest deadline
+    /// in the largest class of the team that holds most of the queue, all relative to
+    /// weights. Empty if \p newcomer itself would rank lowest.
     std::optional<QueuedRequest> evictFor(const QueuedRequest& newcomer, TimePoint now);
-    /// Stops or resumes starting a team's work, as at its limit in flight.
+    /// Stops or resumes starting a team's requests, for example at its in-flight limit.
     void setTeamHeld(const std::string& team, bool held);
-    /// Brings the shares up to date; to be called each half second or so.
+    /// Updates weights and credits; to be called about every half second.
     void refreshShares(TimePoint now);
 
-    /// Takes in a counter of another daemon of the region.
+    /// Applies a service counter reported by another daemon of the region.
     void applyRemoteService(const ServiceSource& source, const ServiceCounter& counter, TimePoint now);
-    /// Forgets a daemon that is gone.
+    /// Removes the counters of a daemon that left the region.
     void forgetSource(const std::string& source);
     /// Returns this daemon's own counters, for the heartbeat.
     std::vector<ServiceCounter> servedCounters() const;
@@ -60,10 +61,10 @@
     /// Returns the predicted wait of a request if it were queued now; empty if
     /// no drain rate is known yet.
     std::optional<Duration> predictedWait(const QueuedRequest& request, TimePoint now) const;
-    /// Returns the rate in tokens a second at which the work of the request's team
-    /// is started in its pool; empty if not known yet.
+    /// Returns the rate in tokens per second at which requests of the request's team are
+    /// started in its pool; empty if not known yet.
     std::optional<double> teamRate(const QueuedRequest& request, TimePoint now) const;
-    /// Returns the part of the team's weight that counts in this daemon's pool.
+    /// Returns the fraction of the team's weight that counts in this daemon's pool.
     double weightFraction(const std::string& team, const std::string& pool, TimePoint now) const;
 
     /// Returns whether a request is queued.
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -15,8 +15,8 @@
 
 namespace catkinwing {
 
-/// The waiting requests of one pool of capacity: who goes next, by virtual-token
-/// counters of teams and of each team's classes. Doesn't own the requests.
+/// The waiting requests of one capacity pool. Selects the next request by virtual-token
+/// counters of the teams and of each team's classes. Doesn't own the requests.
 class PoolQueue {
 public:
     using CanStart = std::function<bool(const QueuedRequest&)>;
@@ -25,28 +25,29 @@
     ~PoolQueue();
 
     bool knows(const std::string& team) const { return m_byName.contains(team); }
-    /// Puts a team's weights in force; makes the team known.
+    /// Applies a team's weights; adds the team if it is new.
     void setTeam(const TeamPolicy& policy, bool held, TimePoint now);
-    /// Forgets a team; nothing of it may be queued.
+    /// Removes a team, which must have no queued requests.
     void removeTeam(const std::string& team);
-    /// Stops or resumes starting a team's work.
+    /// Stops or resumes starting a team's requests.
     void setHeld(const std::string& team, bool held);
 
-    /// Queues a request of a known team and class; it must stay where it is while
-    /// it is queued.
+    /// Queues a request of a known team and class. The request must keep its address
+    /// while it is queued.
     void add(const QueuedRequest& request, TimePoint now);
     void remove(const QueuedRequest& request, TimePoint now);
-    /// Returns the request to start and charges its cost; the caller removes it.
+    /// Returns the request to start and charges its cost; the caller then removes the
+    /// request.
     const QueuedRequest* pick(const CanStart& canStart, TimePoint now);
-    /// Adds \p tokens, which may be negative, to what a team and class were served.
+    /// Adds \p tokens, which may be negative, to the service charged to a team and class.
     void correct(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
-    /// Brings weights and credits up to date.
+    /// Updates weights and credits.
     void refresh(TimePoint now);
 
     RegionalShares& regional() { return m_regional; }
     void appendCounters(const std::string& pool, std::vector<ServiceCounter>& counters) const;
     std::optional<Duration> predictedWait(const QueuedRequest& request, TimePoint now) const;
-    /// Returns the rate in tokens a second at which a team's work is started.
+    /// Returns the rate in tokens per second at which a team's requests are started.
     std::optional<double> teamRate(const std::string& team, TimePoint now) const;
     double weightFraction(const std::string& team, TimePoint now) const;
     std::size_t waiting(WorkKind kind) const { return kind == WorkKind::Short ? m_waitingShort : m_waitingLong; }
@@ -75,19 +76,20 @@
     SharePolicy m_policy;
     RegionalShares m_regional;
     DecayingRate m_localTotal;
-    /// Rate of the virtual time: what a weight of one is served here.
+    /// Rate of the virtual time, which is the service rate for a weight of one here.
     DecayingRate m_level;
     DrainRate m_drain;
     double m_virtualTime { 0 };
-    /// Virtual time at the latest refreshes, over the credit window.
+    /// Virtual time at the recent refreshes, covering the credit window.
     std::deque<std::pair<TimePoint, double>> m_history;
     double m_backloggedWeight { 0 };
     std::size_t m_waitingShort { 0 };
     std::size_t m_waitingLong { 0 };
     std::vector<std::unique_ptr<TeamEntry>> m_teams;
     absl::flat_hash_map<std::string, TeamEntry*> m_byName;
-    /// What removed teams were served: a team that comes back counts on, since
-    /// the other daemons take a counter that went back for an old word.
+    /// Tokens served to removed teams. The counter of a team that is added again
+    /// continues from there, since the other daemons treat a counter that decreased as
+    /// an outdated report.
     std::map<std::string, double> m_removedServed;
     std::map<LaneKey, Lane> m_lanes;
 };
--- a/include/catkinwing/Admission/QueuedRequest.h
+++ b/include/catkinwing/Admission/QueuedRequest.h
@@ -7,44 +7,47 @@
 
 namespace catkinwing {
 
-/// Names a request within one daemon; the caller of the package chooses it.
+/// Identifies a request within one daemon; chosen by the caller of the package.
 using RequestId = std::uint64_t;
 
-/// How long a class's work holds its slot; long work may not hold all slots.
+/// How long requests of a class hold their slots. Long requests may not hold all
+/// slots.
 enum class WorkKind { Short,
     Long };
 
-/// A request that may wait for a slot. Holds what the decisions need, no payload.
+/// A request that may wait for a slot. Holds the data that admission and scheduling
+/// need, but no payload.
 struct QueuedRequest {
     RequestId id { 0 };
     std::string team;
-    /// Class of request, one of the team's.
+    /// Name of one of the team's classes.
     std::string requestClass;
-    /// Model or plain service. Requests of one model and kind are alike to the
-    /// predicate that says what can start.
+    /// Model or plain service. The predicate that says whether a request can start
+    /// doesn't distinguish requests of one pool, model and kind.
     std::string model;
-    /// Capacity that is shared out: requests of one pool compete for the same
-    /// slots. Empty stands for the model; adapters of one base model share the
-    /// base model's pool.
+    /// Capacity pool: requests of one pool compete for the same slots. Empty stands
+    /// for the model; adapters of one base model share the base model's pool.
     std::string pool;
-    /// Who called, within the team; empty where callers aren't told apart.
+    /// Caller within the team; empty if callers aren't distinguished.
     std::string caller;
     /// Estimated cost in tokens, from estimateCost.
     double cost { 0 };
-    /// Memory held while it waits.
+    /// Memory in bytes held while the request waits.
     std::size_t bytes { 0 };
-    /// When the answer, or its first token where the class counts that, is due.
+    /// When the response is due, or its first token if the class's deadline applies to
+    /// that.
     TimePoint deadline {};
-    /// Predicted time from start to what the deadline counts; zero if unknown.
+    /// Predicted time from the start to the event that the deadline applies to; zero if
+    /// unknown.
     Duration expectedService {};
-    /// Set by the class's policy when it is queued.
+    /// Set from the class's policy when the request is queued.
     WorkKind kind { WorkKind::Short };
-    /// Set when it is queued.
+    /// Set when the request is queued.
     TimePoint enqueuedAt {};
 
-    /// Returns the pool that it competes in.
+    /// Returns the pool in which the request competes.
     const std::string& poolName() const { return pool.empty() ? model : pool; }
-    /// Returns the last moment at which starting it still makes the deadline.
+    /// Returns the latest start time at which the request still meets its deadline.
     TimePoint latestStart() const { return deadline - expectedService; }
 };
 
--- a/lib/Admission/AdmissionController.cpp
+++ b/lib/Admission/AdmissionController.cpp
@@ -8,13 +8,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Requests dropped at most to make room for one newcomer.
+/// Maximum number of requests evicted to admit one request.
 static constexpr std::size_t maxEvictions = 64;
-/// Shortest time between refreshes of the shares.
+/// Minimum time between refreshes of the shares.
 static constexpr Duration refreshInterval = std::chrono::milliseconds(500);
-/// Factor on the predicted wait, for the error of the prediction.
+/// Safety factor on the predicted wait that allows for prediction errors.
 static constexpr double waitMargin = 1.25;
-/// Longest Retry-After worth telling.
+/// Maximum retry-after time that is reported to a client.
 static constexpr Duration maxRetryAfter = std::chrono::hours(1);
 
 static double burstOf(const TeamPolicy& policy)
@@ -56,7 +56,7 @@
 {
     TeamState state;
     state.rate = RateBucket(policy.limits.requestsPerSecond, burstOf(policy));
-    // A team that comes back may still have work in flight from before.
+    // A team that is added again may still have requests in flight from before.
     for (const auto& [id, request] : m_inFlight) {
         if (request.team != policy.name)
             continue;
@@ -130,17 +130,16 @@
 
 std::optional<Refusal> AdmissionController::refusalByDeadline(const QueuedRequest& request, TimePoint now) const
 {
-    // With no wait at all it would still be late; the same request would be
-    // later another time too.
+    // The request would be late even without any wait, and so would a retry.
     if (request.latestStart() <= now)
         return Refusal { RefusalReason::PredictedLate, std::nullopt };
     std::optional<Duration> wait = m_queue.predictedWait(request, now);
-    // The longest wait that is let in. A request refused now can go elsewhere; one
-    // that expires has waited for nothing.
+    // The maximum wait that is admitted. A request refused now can still run elsewhere,
+    // whereas one that expires in the queue has wasted its time.
     Duration allowed = std::chrono::duration_cast<Duration>((request.latestStart() - now) / waitMargin);
     if (!wait || *wait <= allowed)
         return std::nullopt;
-    // Once the excess has drained, the same request is let in.
+    // Once the excess has drained, the same request is admitted.
     Duration excess = *wait - allowed;
     if (excess > maxRetryAfter)
         return Refusal { RefusalReason::PredictedLate, std::nullopt };
@@ -202,7 +201,7 @@
 QueuedRequest AdmissionController::leaveFlight(RequestId id, double actualCost, TimePoint now)
 {
     auto found = m_inFlight.find(id);
-    assert(found != m_inFlight.end() && "only what next() returned can end");
+    assert(found != m_inFlight.end() && "only a request returned by next() can end");
     QueuedRequest request = std::move(found->second);
     m_inFlight.erase(found);
     PoolState& pool = poolOf(request.poolName());
--- a/lib/Admission/DeadlineQueue.cpp
+++ b/lib/Admission/DeadlineQueue.cpp
@@ -4,7 +4,7 @@
 
 namespace catkinwing {
 
-/// Later requests looked at one by one before their cost is estimated.
+/// Number of later requests whose costs are summed before costAhead() estimates.
 static constexpr std::size_t maxLaterSteps = 32;
 
 void DeadlineQueue::add(const QueuedRequest& request)
@@ -22,15 +22,16 @@
 
 double DeadlineQueue::costAhead(TimePoint deadline) const
 {
-    // Requests of a class mostly have the same timeout, so few are due later
-    // than a newcomer; the walk from the back ends at once.
+    // Requests of a class mostly have the same timeout, so few are due later than a
+    // new request and the loop from the back ends early.
     double later = 0;
     std::size_t steps = 0;
     for (auto entry = m_requests.rbegin(); entry != m_requests.rend() && entry->first.first > deadline; ++entry) {
         later += entry->second->cost;
         if (++steps < maxLaterSteps)
             continue;
-        // Deadlines are taken as evenly spread over the rest of the queue.
+        // The estimate assumes that the cost is spread evenly over the deadlines in the
+        // queue.
         Duration span = m_requests.rbegin()->first.first - m_requests.begin()->first.first;
         Duration ahead = std::max(Duration::zero(), deadline - m_requests.begin()->first.first);
         double part = span.count() > 0 ? static_cast<double>(ahead.count()) / static_cast<double>(span.count()) : 0;
--- a/lib/Admission/FairQueue.cpp
+++ b/lib/Admission/FairQueue.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-    /// What a queued request weighs besides its bytes when the queue is full, so
-    /// that many small requests count as well as few large ones.
+    /// Bytes added to the size of each queued request when eviction compares teams and
+    /// classes, so that many small requests count as well as a few large ones.
     constexpr std::size_t requestOverhead = 16384;
 
-    /// A class's part of the queue.
+    /// Queued requests of a class, over all pools.
     struct ClassBacklog {
         double weight { 1 };
         std::size_t held { 0 };
         std::set<std::pair<TimePoint, RequestId>> byDeadline;
     };
 
-    /// A team's part of the queue, over all pools.
+    /// Queued requests of a team, over all pools.
     struct TeamBacklog {
         TeamPolicy policy;
         bool startsHeld { false };
@@ -39,13 +39,13 @@
     std::size_t bytes { 0 };
     std::map<std::string, TeamBacklog> teams;
     std::map<std::string, std::unique_ptr<PoolQueue>> pools;
-    /// Stable storage: the pools keep pointers into it.
+    /// Storage with stable addresses, since the pools keep pointers to the requests.
     std::unordered_map<RequestId, QueuedRequest> requests;
     std::set<std::pair<TimePoint, RequestId>> byLatestStart;
-    /// Teams by what they hold of the queue for their weight.
+    /// Teams ordered by the queue bytes that they hold per weight.
     std::set<std::pair<double, std::string>> byHolding;
-    /// Where the next search for startable work begins, so that no pool is
-    /// favoured by its name.
+    /// Pool at which the next search for a startable request begins; it rotates so that
+    /// no pool is preferred because of its name.
     std::string nextPool;
 
     PoolQueue& poolOf(const std::string& name);
@@ -97,7 +97,7 @@
 QueuedRequest FairQueue::State::take(RequestId id, TimePoint now)
 {
     auto found = requests.find(id);
-    assert(found != requests.end() && "only a queued request is taken");
+    assert(found != requests.end() && "only a queued request can be removed");
     QueuedRequest& request = found->second;
     findPool(request.poolName())->remove(request, now);
     byLatestStart.erase({ request.latestStart(), id });
@@ -150,7 +150,7 @@
     State& state = *m_state;
     std::map<std::string, const TeamPolicy*> wanted;
     for (const TeamPolicy& policy : teams) {
-        assert(policy.weight > 0 && "a team's weight is above zero");
+        assert(policy.weight > 0 && "a team's weight must be above zero");
         wanted.emplace(policy.name, &policy);
     }
     std::vector<QueuedRequest> orphaned = state.takeAll(state.orphans(wanted), now);
@@ -180,7 +180,7 @@
 
     std::map<std::string, ClassBacklog> classes;
     for (const ClassPolicy& classPolicy : policy.classes) {
-        assert(classPolicy.weight > 0 && "a class's weight is above zero");
+        assert(classPolicy.weight > 0 && "a class's weight must be above zero");
         ClassBacklog& entry = classes[classPolicy.name];
         entry = std::move(team.classes[classPolicy.name]);
         entry.weight = classPolicy.weight;
@@ -214,7 +214,7 @@
     state.changeHolding(queued.team, team, team.held + holdingOf(queued));
     ++team.queued;
     state.bytes += queued.bytes;
-    // A pool holds only the teams that ever used it.
+    // A pool knows only the teams that have used it.
     PoolQueue& pool = state.poolOf(queued.poolName());
     if (!pool.knows(queued.team))
         pool.setTeam(team.policy, team.startsHeld, now);
--- a/lib/Admission/PoolEntries.cpp
+++ b/lib/Admission/PoolEntries.cpp
@@ -47,7 +47,8 @@
 
 void PoolQueue::TeamEntry::boundClasses(double credit)
 {
-    // Only differences count, so the origin moves along with the class time.
+    // Only differences between counters matter, so the counters are rebased to the
+    // virtual time of the classes.
     for (auto& [key, entry] : classes)
         entry.counter = std::max(entry.counter - classTime, -credit);
     classTime = 0;
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -5,16 +5,17 @@
 
 namespace catkinwing {
 
-/// The teams that have work of one model and kind, least counter first.
+/// The waiting requests of one model and kind, which can all start or all not start.
 struct PoolQueue::Lane {
     LaneKey key;
+    /// Counter and index of each team with requests in the group that isn't paused.
     std::set<std::pair<double, std::size_t>> order;
     std::size_t queued { 0 };
-    /// The answer of the pick in progress.
+    /// Result of the start predicate in the current pick.
     bool canStart { false };
 };
 
-/// The waiting requests of one class of a team, by lane.
+/// The waiting requests of one class of a team, by request group.
 struct PoolQueue::ClassEntry {
     double weight { 1 };
     double counter { 0 };
@@ -22,13 +23,14 @@
     std::map<Lane*, DeadlineQueue> flows;
 
     double cost() const;
-    /// Returns the request due first of the lanes that can start; null if none.
+    /// Returns the request with the earliest deadline in the groups that can start; null
+    /// if there is none.
     const QueuedRequest* firstStartable() const;
-    /// Returns the cost of what is due no later than \p deadline.
+    /// Returns the cost in tokens of the requests due no later than \p deadline.
     double costAhead(TimePoint deadline) const;
 };
 
-/// A team's part in the pool.
+/// State of a team in the pool.
 struct PoolQueue::TeamEntry {
     explicit TeamEntry(Duration rateSmoothing)
         : rate(rateSmoothing)
@@ -38,27 +40,30 @@
     std::size_t index { 0 };
     std::string name;
     double weight { 1 };
-    /// The configured weight times the part of it that counts in this daemon.
+    /// The configured weight times the fraction of it that counts in this daemon.
     double effectiveWeight { 1 };
     double counter { 0 };
     bool held { false };
     std::size_t queued { 0 };
-    /// Requests in each lane; the team stands in the order of each unless held.
+    /// Number of requests in each group. Unless the team is paused, it is in the order
+    /// of each of these groups.
     std::map<Lane*, std::size_t> lanes;
     std::map<std::string, ClassEntry> classes;
-    /// Counter of the class picked last.
+    /// Virtual time of the classes: the highest class counter at a pick.
     double classTime { 0 };
+    /// Tokens charged, which a refund can decrease.
     double served { 0 };
-    /// The most that served ever was: what the other daemons are told.
+    /// Maximum of the tokens charged so far, reported to the other daemons.
     double servedPeak { 0 };
     WeightShift shift;
-    /// Smoothed rate of servedPeak, as the other daemons see it.
+    /// Smoothed rate of the maximum, which the other daemons derive as well.
     DecayingRate rate;
     DrainRate drain;
 
-    /// Returns the class with the least counter that has startable work.
+    /// Returns the class with the smallest counter that has a startable request.
     ClassEntry* nextClass();
-    /// Keeps the class counters within \p credit tokens and small.
+    /// Rebases the class counters and limits how far each is behind the virtual time to
+    /// \p credit tokens per weight.
     void boundClasses(double credit);
 };
 
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -8,12 +8,12 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Virtual time at which all counters are moved back, long before the precision
-/// of a double suffers.
+/// Virtual time at which all counters are rebased, long before the precision of a
+/// double becomes insufficient.
 static constexpr double rebaseAt = 1e12;
-/// A team's own drain rate older than this no longer predicts.
+/// Maximum age of a team's own drain rate for predictions.
 static constexpr Duration maxRateAge = std::chrono::seconds(30);
-/// Longest wait that is told apart from never.
+/// Maximum predicted wait; longer predictions are clamped to it.
 static constexpr double maxWaitSeconds = 86400;
 
 PoolQueue::PoolQueue(const SharePolicy& policy)
@@ -68,12 +68,13 @@
     TeamEntry* team = find(name);
     if (!team)
         return;
-    assert(!team->queued && "a team is removed only once its queue is empty");
+    assert(!team->queued && "a team with queued requests can't be removed");
     if (team->servedPeak >= 1)
         m_removedServed[name] = team->servedPeak;
     m_byName.erase(name);
     m_regional.forgetTeam(name);
-    // The last team takes the freed index; it may stand in some lanes' orders.
+    // The last team takes the freed index, which is part of its key in the groups'
+    // orders.
     TeamEntry& last = *m_teams.back();
     std::size_t index = team->index;
     if (&last != team) {
@@ -118,7 +119,8 @@
     for (auto& [lane, queued] : team.lanes) {
         if (team.held)
             break;
-        // The node is used again: a refresh moves every backlogged team.
+        // The set node is reused to avoid an allocation, since a refresh moves every
+        // backlogged team.
         auto node = lane->order.extract({ team.counter, team.index });
         node.value().first = counter;
         lane->order.insert(std::move(node));
@@ -134,7 +136,8 @@
     if (!team.queued)
         beginBacklog(team, lane, now);
     ClassEntry& entry = team.classes.at(request.requestClass);
-    // An idle class doesn't save up against the team's other classes either.
+    // Like an idle team, an idle class accumulates no credit against the team's other
+    // classes.
     if (!entry.queued)
         entry.counter = std::max(entry.counter, team.classTime);
 
@@ -151,8 +154,9 @@
 void PoolQueue::beginBacklog(TeamEntry& team, const Lane& lane, TimePoint now)
 {
     renewWeight(team, now);
-    // Lifted to the present, so that idle time isn't saved up; where a lane that
-    // couldn't start lags behind the present, to the least of that lane.
+    // Raises the counter to the virtual time, so that an idle team accumulates no
+    // credit. If the group couldn't start and is behind the virtual time, raises it
+    // only to the smallest counter in the group.
     double present = m_virtualTime;
     if (!lane.order.empty())
         present = std::min(present, lane.order.begin()->first);
@@ -175,7 +179,7 @@
 {
     TeamEntry& team = *find(request.team);
     auto laneEntry = m_lanes.find({ request.model, request.kind });
-    assert(laneEntry != m_lanes.end() && "a queued request has a lane");
+    assert(laneEntry != m_lanes.end() && "a queued request must have a group");
     Lane& lane = laneEntry->second;
     ClassEntry& entry = team.classes.at(request.requestClass);
 
@@ -221,7 +225,7 @@
         if (flow != entry.flows.end())
             head = &flow->second.front();
     }
-    assert(head && "a team in a lane's order has work in it");
+    assert(head && "a team in a group's order must have requests in it");
     return *head;
 }
 
@@ -238,8 +242,8 @@
     m_virtualTime = std::max(m_virtualTime, team.counter);
     team.classTime = std::max(team.classTime, entry.counter);
     charge(team, entry, request->cost, now);
-    // Drain rates count estimates, like the cost of what waits: so a bias of the
-    // estimates cancels out of the predicted wait.
+    // Drain rates count estimated costs, as does the cost of the waiting requests, so
+    // that a bias of the estimates cancels out in the predicted wait.
     team.drain.add(request->cost, now);
     m_drain.add(request->cost, now);
     return request;
@@ -261,8 +265,8 @@
     setCounter(team, team.counter + tokens / team.effectiveWeight);
     entry.counter += tokens / entry.weight;
 
-    // Refunds of earlier charges are set off against what is served next, so the
-    // counter that the others see never goes back.
+    // Refunds of earlier charges are offset against later charges, so that the counter
+    // reported to the other daemons never decreases.
     team.served += tokens;
     double gained = std::max(0.0, team.served - team.servedPeak);
     team.servedPeak += gained;
@@ -291,9 +295,9 @@
     team.effectiveWeight = weight;
     if (team.queued)
         m_backloggedWeight += weight - old;
-    // What the team is ahead stays the same in tokens: a charge made while little
-    // of its weight counted here must not lock it out when more does. What it is
-    // behind never grows by a change of weight.
+    // A lead of the team over the virtual time stays the same in tokens, so that a
+    // charge made at a small effective weight doesn't block the team after the weight
+    // increases. A change of weight never increases a lag.
     double lead = team.counter - m_virtualTime;
     double scale = lead > 0 ? old / weight : std::min(1.0, old / weight);
     setCounter(team, m_virtualTime + lead * scale);
@@ -306,7 +310,7 @@
     double floor = creditFloor(now);
     double credit = Seconds(m_policy.creditWindow).count();
     m_backloggedWeight = 0;
-    // Idle teams are brought up to date when their work comes back.
+    // Idle teams are updated when they have requests again.
     for (const auto& team : m_teams) {
         if (team->classTime > rebaseAt)
             team->boundClasses(rebaseAt);
@@ -376,8 +380,8 @@
     if (!rate)
         return std::nullopt;
 
-    // The class gets its part of the team's rate at least, and never waits
-    // longer than for all the team's other work.
+    // The class gets at least its share of the team's rate, and its wait is at most
+    // the time to serve the requests ahead and all requests of the other classes.
     double ahead = own->second.costAhead(request.deadline);
     double weights = own->second.weight;
     double others = 0;
--- a/unittests/Admission/AdmissionControllerTest.cpp
+++ b/unittests/Admission/AdmissionControllerTest.cpp
@@ -20,7 +20,7 @@
     return policy;
 }
 
-/// A controller with one team, or several, of class "chat".
+/// A controller for teams that each have a class "chat".
 struct Fixture {
     explicit Fixture(const std::vector<TeamPolicy>& teams, const AdmissionLimits& limits = {})
         : controller(limits)
@@ -61,7 +61,7 @@
     CHECK(reasonOf(fixture.controller.admit(request, fixture.now)) == RefusalReason::DuplicateId);
 }
 
-TEST_CASE("a team at its limit in flight waits and others go on")
+TEST_CASE("a team at its in-flight limit waits while other teams are served")
 {
     TeamLimits limits;
     limits.inFlight = 2;
@@ -78,7 +78,7 @@
     CHECK(fixture.controller.inFlight() == 3);
 }
 
-TEST_CASE("limits of a team and its callers refuse by name")
+TEST_CASE("requests over a team's or caller's limit are refused with that reason")
 {
     TeamLimits limits;
     limits.queued = 3;
@@ -89,7 +89,8 @@
     CHECK(reasonOf(fixture.admit("a", "x")) == RefusalReason::CallerConcurrency);
     CHECK(fixture.admit("a", "y").admitted());
     CHECK(reasonOf(fixture.admit("a", "y")) == RefusalReason::TeamQueueFull);
-    // In flight still counts for the caller; finished and removed don't.
+    // Requests in flight count towards the caller's limit; finished and removed ones
+    // don't.
     std::optional<QueuedRequest> started = fixture.controller.next(always, fixture.now);
     CHECK(reasonOf(fixture.admit("a", "x")) == RefusalReason::CallerConcurrency);
     fixture.controller.finished(started->id, 0, fixture.now);
@@ -99,7 +100,7 @@
     CHECK(fixture.admit("a", "x").admitted());
 }
 
-TEST_CASE("a caller that comes back when told is within the request rate")
+TEST_CASE("a retry after the reported retry-after time is within the request rate")
 {
     TeamLimits limits;
     limits.requestsPerSecond = 3;
@@ -118,7 +119,8 @@
     }
 }
 
-/// Starts a request of 100 tokens each 100 ms for \p span, while a backlog stays.
+/// Starts and finishes a request of 100 tokens every 100 ms for \p span, as long as
+/// requests are queued.
 static void drain(Fixture& fixture, Duration span)
 {
     TimePoint end = fixture.now + span;
@@ -129,13 +131,13 @@
     }
 }
 
-TEST_CASE("a request that would be late is refused at once and told when to come back")
+TEST_CASE("a request predicted to be late is refused at once with a retry-after time")
 {
     Fixture fixture({ teamOf("a", 1) });
     for (int i = 0; i < 300; ++i)
         CHECK(fixture.admit("a").admitted());
     drain(fixture, 10s);
-    // 200 requests wait; ten are started a second, so the wait is 20 s.
+    // 200 requests wait and ten are started per second, so the wait is 20 s.
     QueuedRequest probe = requestOf("a", 0, 100, fixture.now, 60s);
     CHECK(std::chrono::duration<double>(*fixture.controller.predictedWait(probe, fixture.now)).count() == Approx(20).epsilon(0.05));
     CHECK(fixture.admit("a", "", 26s).admitted());
@@ -144,9 +146,10 @@
     tight.expectedService = 90s;
     AdmissionDecision refused = fixture.controller.admit(tight, fixture.now);
     REQUIRE(reasonOf(refused) == RefusalReason::PredictedLate);
-    // 10 s are left to wait, of which a fifth is the margin: 12 s too few.
+    // The request can wait 10 s, of which a fifth is the safety margin. The allowed 8 s
+    // are 12 s less than the predicted wait.
     CHECK(std::chrono::duration<double>(*refused.refusal->retryAfter).count() == Approx(12).epsilon(0.1));
-    // Told truly: it is let in then, and started in time.
+    // The retry-after time is accurate: a retry then is admitted and started in time.
     tight.deadline += *refused.refusal->retryAfter - 200ms;
     drain(fixture, *refused.refusal->retryAfter - 200ms);
     CHECK(reasonOf(fixture.controller.admit(tight, fixture.now)) == RefusalReason::PredictedLate);
@@ -157,7 +160,7 @@
     for (const DroppedRequest& dropped : fixture.controller.expire(fixture.now))
         CHECK(dropped.request.id != tight.id);
 
-    // No wait makes it late already: coming back wouldn't help.
+    // The request would be late even without a wait, so a retry wouldn't help.
     tight.id = 1001;
     tight.deadline = fixture.now + 80s;
     refused = fixture.controller.admit(tight, fixture.now);
@@ -165,12 +168,12 @@
     CHECK_FALSE(refused.refusal->retryAfter);
 }
 
-TEST_CASE("the predicted wait is true when estimates are wrong")
+TEST_CASE("the predicted wait is accurate when cost estimates are wrong")
 {
     Fixture fixture({ teamOf("a", 1) });
     for (int i = 0; i < 300; ++i)
         fixture.admit("a");
-    // Each request costs three times its estimate; still ten a second are started.
+    // Each request costs three times its estimate; ten per second are started.
     for (int i = 0; i < 100; ++i) {
         fixture.now += 100ms;
         std::optional<QueuedRequest> next = fixture.controller.next(always, fixture.now);
@@ -180,7 +183,7 @@
     CHECK(std::chrono::duration<double>(*fixture.controller.predictedWait(probe, fixture.now)).count() == Approx(20).epsilon(0.05));
 }
 
-TEST_CASE("when nothing drains, waiting work expires and new work still gets a try")
+TEST_CASE("when nothing drains, waiting requests expire and new requests are still admitted")
 {
     Fixture fixture({ teamOf("a", 1) });
     for (int i = 0; i < 50; ++i)
@@ -196,14 +199,14 @@
     CHECK(reasonOf(fixture.admit("a", "", 5s)) == RefusalReason::PredictedLate);
 }
 
-TEST_CASE("a request past its time is never started")
+TEST_CASE("an expired request is never started")
 {
     Fixture fixture({ teamOf("a", 1) });
     CHECK(fixture.admit("a", "", 5s).admitted());
     CHECK(fixture.admit("a", "", 5s).admitted());
     fixture.now += 6s;
     CHECK_FALSE(fixture.controller.next(always, fixture.now));
-    // Its caller may still leave before it is answered.
+    // The caller may still disconnect before expire() returns the request.
     CHECK(fixture.controller.remove(1, fixture.now));
     CHECK_FALSE(fixture.controller.remove(1, fixture.now));
     std::vector<DroppedRequest> dropped = fixture.controller.expire(fixture.now);
@@ -212,7 +215,7 @@
     CHECK(fixture.controller.expire(fixture.now).empty());
 }
 
-TEST_CASE("a full queue drops what has the least right")
+TEST_CASE("a full queue evicts the request that ranks lowest")
 {
     AdmissionLimits limits;
     limits.queuedRequests = 10;
@@ -234,7 +237,7 @@
     CHECK(decision.refusal);
 }
 
-TEST_CASE("a request that no endpoint took is put back at its place and at no charge")
+TEST_CASE("a request that no endpoint accepted is queued again in its position at no charge")
 {
     Fixture fixture({ teamOf("a", 1), teamOf("b", 1) });
     CHECK(fixture.admit("a").admitted());
@@ -265,20 +268,21 @@
     CHECK(dropped.size() == 2);
     for (const DroppedRequest& entry : dropped)
         CHECK((entry.request.team == "gone" && entry.refusal.reason == RefusalReason::PolicyRemoved));
-    // The limit is gone, and what was in flight ends without its team.
+    // The limit no longer applies, and a request in flight can finish after its team
+    // was removed.
     CHECK(fixture.controller.next(always, fixture.now)->team == "a");
     fixture.controller.finished(first->id, 100, fixture.now);
     fixture.controller.finished(second->id, 100, fixture.now);
     CHECK(fixture.controller.inFlight() == 1);
 
-    // A team that comes back with work in flight counts it.
+    // A team that is added again counts its requests in flight.
     fixture.controller.configure({}, fixture.now);
     fixture.controller.configure({ limitedTeam("a", limits) }, fixture.now);
     CHECK(fixture.admit("a").admitted());
     CHECK_FALSE(fixture.controller.next(always, fixture.now));
 }
 
-TEST_CASE("short questions find room while long reviews flood")
+TEST_CASE("short questions find free slots under a flood of long reviews")
 {
     TeamPolicy reviews = teamOf("reviews", 1);
     reviews.classes = { { "review", 1, WorkKind::Long } };
@@ -320,13 +324,13 @@
             review.requestClass = "review";
             controller.admit(review, now());
         }
-        // One question a second on the average, out of step.
+        // One question per second on average, at random times.
         if (ask && random.below(10) == 0)
             controller.admit(requestOf("questions", ++id, 300, now(), 10s), now());
         pump();
     };
-    // Reviews that began before any question was seen hold all but one slot for
-    // their minute.
+    // Reviews that started before the first question hold all but one slot for their
+    // minute.
     for (int i = 0; i < 1200; ++i)
         step(true);
     waits.clear();
@@ -336,7 +340,7 @@
     std::sort(waits.begin(), waits.end());
     CHECK(waits[waits.size() * 99 / 100] <= 1s);
 
-    // Without questions the reserve shrinks to its floor of one slot.
+    // Without questions the reservation shrinks to its minimum of one slot.
     for (int i = 0; i < 3000; ++i)
         step(false);
     longBusySeconds = 0;
@@ -345,7 +349,7 @@
     CHECK(longBusySeconds / 600 == Approx(9).epsilon(0.1));
 }
 
-TEST_CASE("under overload teams keep their shares and few requests wait in vain")
+TEST_CASE("under overload teams keep their shares and few requests expire")
 {
     Fixture fixture({ teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) });
     ManualScheduler scheduler;
@@ -363,7 +367,7 @@
                 return;
             ++busy;
             served[next->team] += next->cost;
-            // A slot serves 1000 tokens a second; estimates are off by up to half.
+            // A slot serves 1000 tokens per second; estimates are off by up to half.
             double actual = next->cost * (0.5 + random.unit());
             scheduler.callAfter(std::chrono::ceil<Duration>(std::chrono::duration<double>(actual / 1000)), [&, id = next->id, actual] {
                 --busy;
@@ -373,7 +377,7 @@
             });
         }
     };
-    // Three times the capacity: 480 requests of 100 tokens a second.
+    // About three times the capacity: on average 450 requests of 100 tokens per second.
     for (int i = 0; i < 12000; ++i) {
         scheduler.advance(10ms);
         fixture.now = scheduler.clock().now();
--- a/unittests/Admission/FairQueueTest.cpp
+++ b/unittests/Admission/FairQueueTest.cpp
@@ -28,7 +28,7 @@
         region.setMeanCost("a", 3000);
         for (const char* team : { "a", "b", "c" })
             region.setBacklogged(team, "d", true);
-        // The first team took all slots before the others came.
+        // The first team occupied all slots before the other teams had requests.
         region.run(10s);
         region.resetServed();
         region.run(300s);
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("a flooding team borrows idle share and gives it back within seconds")
+TEST_CASE("a flooding team uses idle shares and loses them within seconds when they are claimed")
 {
     RegionFake region({ { "d" } }, { teamOf("flood", 1), teamOf("quiet", 3) }, 4);
     region.setBacklogged("flood", "d", true);
@@ -57,7 +57,7 @@
     CHECK(region.served("quiet") / total == Approx(0.75).epsilon(0.05));
 }
 
-TEST_CASE("an idle team doesn't save up its share")
+TEST_CASE("an idle team accumulates no credit")
 {
     RegionFake region({ { "d" } }, { teamOf("busy", 1), teamOf("idle", 1) }, 5);
     region.setBacklogged("busy", "d", true);
@@ -109,7 +109,7 @@
     }
 }
 
-TEST_CASE("classes of a team share by weight and none starves")
+TEST_CASE("classes of a team are served by their weights")
 {
     FairQueue queue;
     TimePoint now {};
@@ -135,7 +135,7 @@
     CHECK(question / review == Approx(3).epsilon(0.05));
 }
 
-TEST_CASE("a team that couldn't start is made good for the credit window only")
+TEST_CASE("a team that couldn't start is compensated for the credit window only")
 {
     SharePolicy policy;
     FairQueue queue(policy);
@@ -149,7 +149,7 @@
     };
     for (int i = 0; i < 2000; ++i)
         add("stuck", "full");
-    // Ten requests of 100 tokens a second for ten minutes.
+    // Ten requests of 100 tokens per second for ten minutes.
     for (int i = 0; i < 6000; ++i) {
         add("free", "open");
         now += 100ms;
@@ -164,7 +164,7 @@
     CHECK(ahead <= 55);
 }
 
-TEST_CASE("settling charges what a request really cost")
+TEST_CASE("settling charges the actual cost of a request")
 {
     FairQueue queue;
     TimePoint now {};
@@ -177,7 +177,7 @@
                 queue.enqueue(requestOf(team, ++id, 100, now, 1h), now);
         }
         std::optional<QueuedRequest> next = queue.pickNext(always, now);
-        // One team's estimates are four times too low.
+        // The estimates of one team are too low by a factor of four.
         double cost = next->team == "low" ? 400 : 100;
         queue.settle(*next, cost, now);
         actual[next->team] += cost;
@@ -185,7 +185,7 @@
     CHECK(actual["low"] / actual["true"] == Approx(1).epsilon(0.01));
 }
 
-TEST_CASE("what can't make its deadline is handed back at once")
+TEST_CASE("a request that can't meet its deadline expires at once")
 {
     FairQueue queue;
     TimePoint now {};
@@ -203,7 +203,7 @@
     CHECK(queue.size() == 0);
 }
 
-TEST_CASE("the team that holds most for its weight gives way when the queue is full")
+TEST_CASE("eviction removes a request of the team that holds most per weight")
 {
     FairQueue queue;
     TimePoint now {};
@@ -212,14 +212,16 @@
         queue.enqueue(requestOf("heavy", id, 100, now, 10s), now);
     for (RequestId id = 11; id <= 13; ++id)
         queue.enqueue(requestOf("greedy", id, 100, now, std::chrono::seconds(id)), now);
-    // The latest of the team with 3 for a weight of 1, not of that with 8 for 8.
+    // Evicts the latest request of the team with 3 requests and weight 1, not of the
+    // team with 8 requests and weight 8.
     CHECK(queue.evictFor(requestOf("newcomer", 20, 100, now, 10s), now)->id == 13);
-    // The greedy team's own newcomer has the least right, unless it is due earlier.
+    // A new request of the greedy team ranks lowest itself, unless it is due earlier
+    // than the team's queued requests.
     CHECK_FALSE(queue.evictFor(requestOf("greedy", 21, 100, now, 60s), now));
     CHECK(queue.evictFor(requestOf("greedy", 22, 100, now, 1s), now)->id == 12);
 }
 
-TEST_CASE("a configuration change moves weights and hands back orphans")
+TEST_CASE("a configuration change updates weights and returns orphaned requests")
 {
     FairQueue queue;
     TimePoint now {};
@@ -248,7 +250,7 @@
     CHECK(servedA == Approx(400).margin(10));
 }
 
-TEST_CASE("every request leaves once and the sizes add up")
+TEST_CASE("every request leaves the queue once and the sizes add up")
 {
     for (std::uint64_t seed : { 11, 12, 13, 14, 15 }) {
         INFO("seed " << seed);
@@ -310,7 +312,7 @@
     TimePoint now {};
     queue.configure({ teamOf("a", 1e-3), teamOf("b", 3e-3) }, now);
     RequestId id = 0;
-    // Each request stands for the service of ten minutes at 100,000 tokens a second.
+    // Each request stands for ten minutes of service at 100,000 tokens per second.
     for (int i = 0; i < 30 * 24 * 6; ++i) {
         now += 10min;
         for (const char* team : { "a", "b" }) {
@@ -331,7 +333,7 @@
     CHECK(servedA == Approx(1000).margin(10));
 }
 
-TEST_CASE("the counter told to others never goes back")
+TEST_CASE("the reported service counter never decreases")
 {
     FairQueue queue;
     TimePoint now {};
