--- a/include/catkinwing/Admission/AdmissionController.h
+++ b/include/catkinwing/Admission/AdmissionController.h
@@ -50,8 +50,8 @@
     std::optional<Duration> predictedWait(const QueuedRequest& request, TimePoint now) const { return m_queue.predictedWait(request, now); }
     /// Applies a service counter reported by another daemon of the region.
     void applyRemoteService(const ServiceSource& source, const ServiceCounter& counter, TimePoint now) { m_queue.applyRemoteService(source, counter, now); }
-    /// Removes the counters of a daemon that left the region.
-    void forgetSource(const std::string& source) { m_queue.forgetSource(source); }
+    /// Removes the counters of a daemon that is no longer a peer.
+    void removeSource(const std::string& source) { m_queue.removeSource(source); }
     /// Returns this daemon's own counters, for the heartbeat.
     std::vector<ServiceCounter> servedCounters() const { return m_queue.servedCounters(); }
     /// Returns the number of waiting requests.
@@ -75,19 +75,19 @@
         SlotReservation reservation;
     };
 
-    TeamState newTeam(const TeamPolicy& policy) const;
-    PoolState& poolOf(const std::string& pool);
+    TeamState makeTeamState(const TeamPolicy& policy) const;
+    PoolState& findOrCreatePool(const std::string& pool);
     std::optional<Refusal> refusalFor(const QueuedRequest& request, TimePoint now);
     std::optional<Refusal> refusalByLimits(TeamState& team, const QueuedRequest& request, TimePoint now) const;
     std::optional<Refusal> refusalByDeadline(const QueuedRequest& request, TimePoint now) const;
     std::optional<Duration> timeToDrain(const QueuedRequest& request, TimePoint now) const;
-    std::optional<Refusal> makeRoom(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& dropped);
+    std::optional<Refusal> evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& dropped);
     void collectExpired(TimePoint now);
     DroppedRequest drop(QueuedRequest request, Refusal refusal);
     void releaseCaller(const QueuedRequest& request);
-    QueuedRequest leaveFlight(RequestId id, double actualCost, TimePoint now);
-    void updateHeld(const std::string& team);
-    void noteShort(const std::string& pool, TimePoint now);
+    QueuedRequest removeInFlight(RequestId id, double actualCost, TimePoint now);
+    void updateTeamPaused(const std::string& team);
+    void recordShortDemand(const std::string& pool, TimePoint now);
 
     AdmissionLimits m_limits;
     TimePoint m_refreshedAt {};
--- a/include/catkinwing/Admission/AdmissionDecision.h
+++ b/include/catkinwing/Admission/AdmissionDecision.h
@@ -6,8 +6,8 @@
 
 namespace catkinwing {
 
-/// Why a request was not run. Every reason applies before any byte of the request is
-/// sent to an endpoint.
+/// Why a request was not run. Every reason applies before any byte of the request
+/// leaves the daemon.
 enum class RefusalReason {
     /// No accepted policy names the team.
     UnknownTeam,
@@ -21,10 +21,11 @@
     CallerConcurrency,
     /// The team has reached its limit of queued requests.
     TeamQueueFull,
-    /// The daemon's queue is full by request count, and no queued request ranks lower.
+    /// The daemon's queue is full by request count, and no queued request ranks lower
+    /// (see FairQueue::evictFor).
     QueueFull,
-    /// The daemon's queue is full by bytes, and evicting queued requests that rank
-    /// lower doesn't free enough.
+    /// The daemon's queue is full by bytes and evictions don't free enough, or the
+    /// request alone exceeds the limit.
     QueueBytesFull,
     /// The request is predicted to start too late for its deadline.
     PredictedLate,
--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -47,14 +47,14 @@
     /// weights. Empty if \p newcomer itself would rank lowest.
     std::optional<QueuedRequest> evictFor(const QueuedRequest& newcomer, TimePoint now);
     /// Stops or resumes starting a team's requests, for example at its in-flight limit.
-    void setTeamHeld(const std::string& team, bool held);
+    void setTeamPaused(const std::string& team, bool paused);
     /// Updates weights and credits; to be called about every half second.
     void refreshShares(TimePoint now);
 
     /// Applies a service counter reported by another daemon of the region.
     void applyRemoteService(const ServiceSource& source, const ServiceCounter& counter, TimePoint now);
-    /// Removes the counters of a daemon that left the region.
-    void forgetSource(const std::string& source);
+    /// Removes the counters of a daemon that is no longer a peer.
+    void removeSource(const std::string& source);
     /// Returns this daemon's own counters, for the heartbeat.
     std::vector<ServiceCounter> servedCounters() const;
 
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -24,13 +24,13 @@
     explicit PoolQueue(const SharePolicy& policy);
     ~PoolQueue();
 
-    bool knows(const std::string& team) const { return m_byName.contains(team); }
+    bool hasTeam(const std::string& team) const { return m_byName.contains(team); }
     /// Applies a team's weights; adds the team if it is new.
-    void setTeam(const TeamPolicy& policy, bool held, TimePoint now);
+    void setTeam(const TeamPolicy& policy, bool paused, TimePoint now);
     /// Removes a team, which must have no queued requests.
     void removeTeam(const std::string& team);
     /// Stops or resumes starting a team's requests.
-    void setHeld(const std::string& team, bool held);
+    void setTeamPaused(const std::string& team, bool paused);
 
     /// Queues a request of a known team and class. The request must keep its address
     /// while it is queued.
@@ -40,7 +40,7 @@
     /// request.
     const QueuedRequest* pick(const CanStart& canStart, TimePoint now);
     /// Adds \p tokens, which may be negative, to the service charged to a team and class.
-    void correct(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
+    void adjustCharge(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
     /// Updates weights and credits.
     void refresh(TimePoint now);
 
@@ -54,34 +54,34 @@
     bool empty() const { return m_waitingShort + m_waitingLong == 0; }
 
 private:
-    struct Lane;
+    struct RequestGroup;
     struct ClassEntry;
     struct TeamEntry;
-    using LaneKey = std::pair<std::string, WorkKind>;
+    using RequestGroupKey = std::pair<std::string, WorkKind>;
 
     TeamEntry* find(const std::string& team) const;
-    void joinOrders(TeamEntry& team);
-    void leaveOrders(TeamEntry& team);
+    void addToGroups(TeamEntry& team);
+    void removeFromGroups(TeamEntry& team);
     void setCounter(TeamEntry& team, double counter);
-    void beginBacklog(TeamEntry& team, const Lane& lane, TimePoint now);
+    void beginBacklog(TeamEntry& team, const RequestGroup& group, TimePoint now);
     void endBacklog(TeamEntry& team, TimePoint now);
-    Lane* bestLane(const CanStart& canStart);
-    const QueuedRequest& headOf(Lane& lane) const;
+    RequestGroup* findBestGroup(const CanStart& canStart);
+    const QueuedRequest& sampleRequest(RequestGroup& group) const;
     void charge(TeamEntry& team, ClassEntry& entry, double tokens, TimePoint now);
-    RegionalStanding standingOf(const TeamEntry& team, TimePoint now) const;
-    void renewWeight(TeamEntry& team, TimePoint now);
-    void rebase();
+    RegionalStanding regionalStanding(const TeamEntry& team, TimePoint now) const;
+    void updateEffectiveWeight(TeamEntry& team, TimePoint now);
+    void rebaseCounters();
     double creditFloor(TimePoint now);
 
     SharePolicy m_policy;
     RegionalShares m_regional;
-    DecayingRate m_localTotal;
+    DecayingRate m_localServedRate;
     /// Rate of the virtual time, which is the service rate for a weight of one here.
-    DecayingRate m_level;
-    DrainRate m_drain;
+    DecayingRate m_virtualTimeRate;
+    DrainRate m_drainRate;
     double m_virtualTime { 0 };
     /// Virtual time at the recent refreshes, covering the credit window.
-    std::deque<std::pair<TimePoint, double>> m_history;
+    std::deque<std::pair<TimePoint, double>> m_virtualTimeHistory;
     double m_backloggedWeight { 0 };
     std::size_t m_waitingShort { 0 };
     std::size_t m_waitingLong { 0 };
@@ -91,7 +91,7 @@
     /// continues from there, since the other daemons treat a counter that decreased as
     /// an outdated report.
     std::map<std::string, double> m_removedServed;
-    std::map<LaneKey, Lane> m_lanes;
+    std::map<RequestGroupKey, RequestGroup> m_groups;
 };
 
 } // namespace catkinwing
--- a/lib/Admission/AdmissionController.cpp
+++ b/lib/Admission/AdmissionController.cpp
@@ -13,11 +13,11 @@
 /// Minimum time between refreshes of the shares.
 static constexpr Duration refreshInterval = std::chrono::milliseconds(500);
 /// Safety factor on the predicted wait that allows for prediction errors.
-static constexpr double waitMargin = 1.25;
+static constexpr double waitSafetyFactor = 1.25;
 /// Maximum retry-after time that is reported to a client.
 static constexpr Duration maxRetryAfter = std::chrono::hours(1);
 
-static double burstOf(const TeamPolicy& policy)
+static double burstSize(const TeamPolicy& policy)
 {
     return std::max(1.0, policy.limits.burst);
 }
@@ -39,23 +39,23 @@
     for (const TeamPolicy& policy : teams) {
         auto known = m_teams.find(policy.name);
         TeamState& state = states[policy.name];
-        state = known == m_teams.end() ? newTeam(policy) : std::move(known->second);
+        state = known == m_teams.end() ? makeTeamState(policy) : std::move(known->second);
         state.limits = policy.limits;
-        state.rate.configure(policy.limits.requestsPerSecond, burstOf(policy), now);
+        state.rate.configure(policy.limits.requestsPerSecond, burstSize(policy), now);
         state.classes.clear();
         for (const ClassPolicy& classPolicy : policy.classes)
             state.classes.insert(classPolicy.name);
     }
     m_teams = std::move(states);
     for (const TeamPolicy& policy : teams)
-        updateHeld(policy.name);
+        updateTeamPaused(policy.name);
     return dropped;
 }
 
-AdmissionController::TeamState AdmissionController::newTeam(const TeamPolicy& policy) const
+AdmissionController::TeamState AdmissionController::makeTeamState(const TeamPolicy& policy) const
 {
     TeamState state;
-    state.rate = RateBucket(policy.limits.requestsPerSecond, burstOf(policy));
+    state.rate = RateBucket(policy.limits.requestsPerSecond, burstSize(policy));
     // A team that is added again may still have requests in flight from before.
     for (const auto& [id, request] : m_inFlight) {
         if (request.team != policy.name)
@@ -68,10 +68,10 @@
 
 void AdmissionController::setSlots(const std::string& pool, std::size_t total)
 {
-    poolOf(pool).slots = total;
+    findOrCreatePool(pool).slots = total;
 }
 
-AdmissionController::PoolState& AdmissionController::poolOf(const std::string& pool)
+AdmissionController::PoolState& AdmissionController::findOrCreatePool(const std::string& pool)
 {
     auto [entry, isNew] = m_pools.try_emplace(pool);
     if (isNew)
@@ -85,7 +85,7 @@
     decision.refusal = refusalFor(request, now);
     if (decision.refusal)
         return decision;
-    decision.refusal = makeRoom(request, now, decision.dropped);
+    decision.refusal = evictForCapacity(request, now, decision.dropped);
     if (decision.refusal)
         return decision;
     TeamState& team = m_teams.at(request.team);
@@ -94,7 +94,7 @@
     ++team.callers[request.caller];
     std::string pool = request.poolName();
     m_queue.enqueue(std::move(request), now);
-    noteShort(pool, now);
+    recordShortDemand(pool, now);
     return decision;
 }
 
@@ -136,7 +136,7 @@
     std::optional<Duration> wait = m_queue.predictedWait(request, now);
     // The maximum wait that is admitted. A request refused now can still run elsewhere,
     // whereas one that expires in the queue has wasted its time.
-    Duration allowed = std::chrono::duration_cast<Duration>((request.latestStart() - now) / waitMargin);
+    Duration allowed = std::chrono::duration_cast<Duration>((request.latestStart() - now) / waitSafetyFactor);
     if (!wait || *wait <= allowed)
         return std::nullopt;
     // Once the excess has drained, the same request is admitted.
@@ -157,7 +157,7 @@
     return std::chrono::ceil<Duration>(Seconds(seconds));
 }
 
-std::optional<Refusal> AdmissionController::makeRoom(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& dropped)
+std::optional<Refusal> AdmissionController::evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& dropped)
 {
     if (request.bytes > m_limits.queuedBytes)
         return Refusal { RefusalReason::QueueBytesFull, std::nullopt };
@@ -190,34 +190,34 @@
     std::optional<QueuedRequest> picked = m_queue.pickNext(mayStartNow, now);
     if (!picked)
         return std::nullopt;
-    PoolState& pool = poolOf(picked->poolName());
+    PoolState& pool = findOrCreatePool(picked->poolName());
     ++(picked->kind == WorkKind::Short ? pool.shortInFlight : pool.longInFlight);
     ++m_teams.at(picked->team).inFlight;
     m_inFlight.emplace(picked->id, *picked);
-    updateHeld(picked->team);
+    updateTeamPaused(picked->team);
     return picked;
 }
 
-QueuedRequest AdmissionController::leaveFlight(RequestId id, double actualCost, TimePoint now)
+QueuedRequest AdmissionController::removeInFlight(RequestId id, double actualCost, TimePoint now)
 {
     auto found = m_inFlight.find(id);
     assert(found != m_inFlight.end() && "only a request returned by next() can end");
     QueuedRequest request = std::move(found->second);
     m_inFlight.erase(found);
-    PoolState& pool = poolOf(request.poolName());
+    PoolState& pool = findOrCreatePool(request.poolName());
     --(request.kind == WorkKind::Short ? pool.shortInFlight : pool.longInFlight);
     m_queue.settle(request, actualCost, now);
     auto team = m_teams.find(request.team);
     if (team != m_teams.end()) {
         --team->second.inFlight;
-        updateHeld(request.team);
+        updateTeamPaused(request.team);
     }
     return request;
 }
 
 bool AdmissionController::putBack(RequestId id, TimePoint now)
 {
-    QueuedRequest request = leaveFlight(id, 0, now);
+    QueuedRequest request = removeInFlight(id, 0, now);
     if (m_queue.enqueue(request, now))
         return true;
     releaseCaller(request);
@@ -226,7 +226,7 @@
 
 void AdmissionController::finished(RequestId id, double actualCost, TimePoint now)
 {
-    releaseCaller(leaveFlight(id, actualCost, now));
+    releaseCaller(removeInFlight(id, actualCost, now));
 }
 
 bool AdmissionController::remove(RequestId id, TimePoint now)
@@ -258,7 +258,7 @@
     m_refreshedAt = now;
     m_queue.refreshShares(now);
     for (auto& [name, pool] : m_pools)
-        noteShort(name, now);
+        recordShortDemand(name, now);
     return dropped;
 }
 
@@ -278,15 +278,15 @@
         team->second.callers.erase(caller);
 }
 
-void AdmissionController::updateHeld(const std::string& team)
+void AdmissionController::updateTeamPaused(const std::string& team)
 {
     const TeamState& state = m_teams.at(team);
-    m_queue.setTeamHeld(team, state.inFlight >= state.limits.inFlight);
+    m_queue.setTeamPaused(team, state.inFlight >= state.limits.inFlight);
 }
 
-void AdmissionController::noteShort(const std::string& pool, TimePoint now)
+void AdmissionController::recordShortDemand(const std::string& pool, TimePoint now)
 {
-    PoolState& state = poolOf(pool);
+    PoolState& state = findOrCreatePool(pool);
     state.reservation.noteShort(state.shortInFlight, m_queue.waiting(pool, WorkKind::Short), now);
 }
 
--- a/lib/Admission/DeadlineQueue.cpp
+++ b/lib/Admission/DeadlineQueue.cpp
@@ -5,7 +5,7 @@
 namespace catkinwing {
 
 /// Number of later requests whose costs are summed before costAhead() estimates.
-static constexpr std::size_t maxLaterSteps = 32;
+static constexpr std::size_t maxExactSteps = 32;
 
 void DeadlineQueue::add(const QueuedRequest& request)
 {
@@ -24,20 +24,20 @@
 {
     // Requests of a class mostly have the same timeout, so few are due later than a
     // new request and the loop from the back ends early.
-    double later = 0;
+    double laterCost = 0;
     std::size_t steps = 0;
     for (auto entry = m_requests.rbegin(); entry != m_requests.rend() && entry->first.first > deadline; ++entry) {
-        later += entry->second->cost;
-        if (++steps < maxLaterSteps)
+        laterCost += entry->second->cost;
+        if (++steps < maxExactSteps)
             continue;
         // The estimate assumes that the cost is spread evenly over the deadlines in the
         // queue.
         Duration span = m_requests.rbegin()->first.first - m_requests.begin()->first.first;
         Duration ahead = std::max(Duration::zero(), deadline - m_requests.begin()->first.first);
-        double part = span.count() > 0 ? static_cast<double>(ahead.count()) / static_cast<double>(span.count()) : 0;
-        return m_cost * part;
+        double fraction = span.count() > 0 ? static_cast<double>(ahead.count()) / static_cast<double>(span.count()) : 0;
+        return m_cost * fraction;
     }
-    return std::max(0.0, m_cost - later);
+    return std::max(0.0, m_cost - laterCost);
 }
 
 } // namespace catkinwing
--- a/lib/Admission/FairQueue.cpp
+++ b/lib/Admission/FairQueue.cpp
@@ -14,21 +14,21 @@
 
     /// Bytes added to the size of each queued request when eviction compares teams and
     /// classes, so that many small requests count as well as a few large ones.
-    constexpr std::size_t requestOverhead = 16384;
+    constexpr std::size_t perRequestOverheadBytes = 16384;
 
     /// Queued requests of a class, over all pools.
     struct ClassBacklog {
         double weight { 1 };
-        std::size_t held { 0 };
+        std::size_t heldBytes { 0 };
         std::set<std::pair<TimePoint, RequestId>> byDeadline;
     };
 
     /// Queued requests of a team, over all pools.
     struct TeamBacklog {
         TeamPolicy policy;
-        bool startsHeld { false };
+        bool paused { false };
         std::size_t queued { 0 };
-        std::size_t held { 0 };
+        std::size_t heldBytes { 0 };
         std::map<std::string, ClassBacklog> classes;
     };
 
@@ -43,27 +43,27 @@
     std::unordered_map<RequestId, QueuedRequest> requests;
     std::set<std::pair<TimePoint, RequestId>> byLatestStart;
     /// Teams ordered by the queue bytes that they hold per weight.
-    std::set<std::pair<double, std::string>> byHolding;
+    std::set<std::pair<double, std::string>> teamsByBytesPerWeight;
     /// Pool at which the next search for a startable request begins; it rotates so that
     /// no pool is preferred because of its name.
-    std::string nextPool;
+    std::string nextPoolName;
 
-    PoolQueue& poolOf(const std::string& name);
+    PoolQueue& findOrCreatePool(const std::string& name);
     PoolQueue* findPool(const std::string& name) const;
-    void changeHolding(const std::string& name, TeamBacklog& team, std::size_t held);
-    QueuedRequest take(RequestId id, TimePoint now);
-    std::vector<QueuedRequest> takeAll(const std::vector<RequestId>& ids, TimePoint now);
-    std::vector<RequestId> orphans(const std::map<std::string, const TeamPolicy*>& wanted) const;
+    void setHeldBytes(const std::string& name, TeamBacklog& team, std::size_t heldBytes);
+    QueuedRequest extractRequest(RequestId id, TimePoint now);
+    std::vector<QueuedRequest> extractRequests(const std::vector<RequestId>& ids, TimePoint now);
+    std::vector<RequestId> findOrphans(const std::map<std::string, const TeamPolicy*>& policiesByName) const;
 };
 
-static std::size_t holdingOf(const QueuedRequest& request)
+static std::size_t queueFootprint(const QueuedRequest& request)
 {
-    return request.bytes + requestOverhead;
+    return request.bytes + perRequestOverheadBytes;
 }
 
-static double perWeight(std::size_t held, double weight)
+static double bytesPerWeight(std::size_t heldBytes, double weight)
 {
-    return static_cast<double>(held) / weight;
+    return static_cast<double>(heldBytes) / weight;
 }
 
 static const ClassPolicy* findClass(const TeamPolicy& team, const std::string& name)
@@ -78,7 +78,7 @@
     return found == pools.end() ? nullptr : found->second.get();
 }
 
-PoolQueue& FairQueue::State::poolOf(const std::string& name)
+PoolQueue& FairQueue::State::findOrCreatePool(const std::string& name)
 {
     std::unique_ptr<PoolQueue>& pool = pools[name];
     if (!pool)
@@ -86,15 +86,15 @@
     return *pool;
 }
 
-void FairQueue::State::changeHolding(const std::string& name, TeamBacklog& team, std::size_t held)
+void FairQueue::State::setHeldBytes(const std::string& name, TeamBacklog& team, std::size_t heldBytes)
 {
-    byHolding.erase({ perWeight(team.held, team.policy.weight), name });
-    team.held = held;
-    if (held)
-        byHolding.insert({ perWeight(held, team.policy.weight), name });
+    teamsByBytesPerWeight.erase({ bytesPerWeight(team.heldBytes, team.policy.weight), name });
+    team.heldBytes = heldBytes;
+    if (heldBytes)
+        teamsByBytesPerWeight.insert({ bytesPerWeight(heldBytes, team.policy.weight), name });
 }
 
-QueuedRequest FairQueue::State::take(RequestId id, TimePoint now)
+QueuedRequest FairQueue::State::extractRequest(RequestId id, TimePoint now)
 {
     auto found = requests.find(id);
     assert(found != requests.end() && "only a queued request can be removed");
@@ -105,31 +105,31 @@
     TeamBacklog& team = teams.at(request.team);
     ClassBacklog& requestClass = team.classes.at(request.requestClass);
     requestClass.byDeadline.erase({ request.deadline, id });
-    requestClass.held -= holdingOf(request);
-    changeHolding(request.team, team, team.held - holdingOf(request));
+    requestClass.heldBytes -= queueFootprint(request);
+    setHeldBytes(request.team, team, team.heldBytes - queueFootprint(request));
     --team.queued;
     bytes -= request.bytes;
 
-    QueuedRequest taken = std::move(request);
+    QueuedRequest extracted = std::move(request);
     requests.erase(found);
-    return taken;
+    return extracted;
 }
 
-std::vector<QueuedRequest> FairQueue::State::takeAll(const std::vector<RequestId>& ids, TimePoint now)
+std::vector<QueuedRequest> FairQueue::State::extractRequests(const std::vector<RequestId>& ids, TimePoint now)
 {
-    std::vector<QueuedRequest> taken;
-    taken.reserve(ids.size());
+    std::vector<QueuedRequest> extracted;
+    extracted.reserve(ids.size());
     for (RequestId id : ids)
-        taken.push_back(take(id, now));
-    return taken;
+        extracted.push_back(extractRequest(id, now));
+    return extracted;
 }
 
-std::vector<RequestId> FairQueue::State::orphans(const std::map<std::string, const TeamPolicy*>& wanted) const
+std::vector<RequestId> FairQueue::State::findOrphans(const std::map<std::string, const TeamPolicy*>& policiesByName) const
 {
     std::vector<RequestId> ids;
     for (const auto& [id, request] : requests) {
-        auto team = wanted.find(request.team);
-        const ClassPolicy* policyOfClass = team == wanted.end() ? nullptr : findClass(*team->second, request.requestClass);
+        auto team = policiesByName.find(request.team);
+        const ClassPolicy* policyOfClass = team == policiesByName.end() ? nullptr : findClass(*team->second, request.requestClass);
         if (!policyOfClass)
             ids.push_back(id);
     }
@@ -148,15 +148,15 @@
 std::vector<QueuedRequest> FairQueue::configure(const std::vector<TeamPolicy>& teams, TimePoint now)
 {
     State& state = *m_state;
-    std::map<std::string, const TeamPolicy*> wanted;
+    std::map<std::string, const TeamPolicy*> policiesByName;
     for (const TeamPolicy& policy : teams) {
         assert(policy.weight > 0 && "a team's weight must be above zero");
-        wanted.emplace(policy.name, &policy);
+        policiesByName.emplace(policy.name, &policy);
     }
-    std::vector<QueuedRequest> orphaned = state.takeAll(state.orphans(wanted), now);
+    std::vector<QueuedRequest> orphaned = state.extractRequests(state.findOrphans(policiesByName), now);
 
     for (auto entry = state.teams.begin(); entry != state.teams.end();) {
-        if (wanted.count(entry->first)) {
+        if (policiesByName.count(entry->first)) {
             ++entry;
             continue;
         }
@@ -164,7 +164,7 @@
             pool->removeTeam(entry->first);
         entry = state.teams.erase(entry);
     }
-    for (const auto& [name, policy] : wanted)
+    for (const auto& [name, policy] : policiesByName)
         setTeam(*policy, now);
     return orphaned;
 }
@@ -173,10 +173,10 @@
 {
     State& state = *m_state;
     TeamBacklog& team = state.teams[policy.name];
-    std::size_t held = team.held;
-    state.changeHolding(policy.name, team, 0);
+    std::size_t heldBytes = team.heldBytes;
+    state.setHeldBytes(policy.name, team, 0);
     team.policy = policy;
-    state.changeHolding(policy.name, team, held);
+    state.setHeldBytes(policy.name, team, heldBytes);
 
     std::map<std::string, ClassBacklog> classes;
     for (const ClassPolicy& classPolicy : policy.classes) {
@@ -187,8 +187,8 @@
     }
     team.classes = std::move(classes);
     for (auto& [name, pool] : state.pools) {
-        if (pool->knows(policy.name))
-            pool->setTeam(policy, team.startsHeld, now);
+        if (pool->hasTeam(policy.name))
+            pool->setTeam(policy, team.paused, now);
     }
 }
 
@@ -210,14 +210,14 @@
     state.byLatestStart.insert({ queued.latestStart(), id });
     ClassBacklog& requestClass = team.classes.at(queued.requestClass);
     requestClass.byDeadline.insert({ queued.deadline, id });
-    requestClass.held += holdingOf(queued);
-    state.changeHolding(queued.team, team, team.held + holdingOf(queued));
+    requestClass.heldBytes += queueFootprint(queued);
+    state.setHeldBytes(queued.team, team, team.heldBytes + queueFootprint(queued));
     ++team.queued;
     state.bytes += queued.bytes;
     // A pool knows only the teams that have used it.
-    PoolQueue& pool = state.poolOf(queued.poolName());
-    if (!pool.knows(queued.team))
-        pool.setTeam(team.policy, team.startsHeld, now);
+    PoolQueue& pool = state.findOrCreatePool(queued.poolName());
+    if (!pool.hasTeam(queued.team))
+        pool.setTeam(team.policy, team.paused, now);
     pool.add(queued, now);
     return true;
 }
@@ -225,7 +225,7 @@
 std::optional<QueuedRequest> FairQueue::pickNext(const CanStart& canStart, TimePoint now)
 {
     State& state = *m_state;
-    auto start = state.pools.lower_bound(state.nextPool);
+    auto start = state.pools.lower_bound(state.nextPoolName);
     for (std::size_t i = 0; i < state.pools.size(); ++i) {
         if (start == state.pools.end())
             start = state.pools.begin();
@@ -235,8 +235,8 @@
         const QueuedRequest* next = pool->second->pick(canStart, now);
         if (!next)
             continue;
-        state.nextPool = start == state.pools.end() ? std::string() : start->first;
-        return state.take(next->id, now);
+        state.nextPoolName = start == state.pools.end() ? std::string() : start->first;
+        return state.extractRequest(next->id, now);
     }
     return std::nullopt;
 }
@@ -245,14 +245,14 @@
 {
     PoolQueue* pool = m_state->findPool(request.poolName());
     if (pool)
-        pool->correct(request.team, request.requestClass, actualCost - request.cost, now);
+        pool->adjustCharge(request.team, request.requestClass, actualCost - request.cost, now);
 }
 
 std::optional<QueuedRequest> FairQueue::remove(RequestId id, TimePoint now)
 {
     if (!m_state->requests.count(id))
         return std::nullopt;
-    return m_state->take(id, now);
+    return m_state->extractRequest(id, now);
 }
 
 std::vector<QueuedRequest> FairQueue::expire(TimePoint now)
@@ -263,47 +263,47 @@
             break;
         late.push_back(id);
     }
-    return m_state->takeAll(late, now);
+    return m_state->extractRequests(late, now);
 }
 
 std::optional<QueuedRequest> FairQueue::evictFor(const QueuedRequest& newcomer, TimePoint now)
 {
     State& state = *m_state;
-    auto own = state.teams.find(newcomer.team);
-    if (own == state.teams.end() || state.byHolding.empty())
+    auto newcomerTeam = state.teams.find(newcomer.team);
+    if (newcomerTeam == state.teams.end() || state.teamsByBytesPerWeight.empty())
         return std::nullopt;
-    double newcomerHolds = perWeight(own->second.held + holdingOf(newcomer), own->second.policy.weight);
-    bool isOwn = newcomerHolds >= state.byHolding.rbegin()->first;
-    TeamBacklog& victim = isOwn ? own->second : state.teams.at(state.byHolding.rbegin()->second);
+    double newcomerRatio = bytesPerWeight(newcomerTeam->second.heldBytes + queueFootprint(newcomer), newcomerTeam->second.policy.weight);
+    bool evictsOwnTeam = newcomerRatio >= state.teamsByBytesPerWeight.rbegin()->first;
+    TeamBacklog& victim = evictsOwnTeam ? newcomerTeam->second : state.teams.at(state.teamsByBytesPerWeight.rbegin()->second);
 
     const ClassBacklog* largest = nullptr;
-    double most = 0;
-    bool newcomersClass = false;
+    double maxRatio = 0;
+    bool largestIsNewcomerClass = false;
     for (const auto& [name, entry] : victim.classes) {
-        bool isNewcomers = isOwn && name == newcomer.requestClass;
-        double holds = perWeight(entry.held + (isNewcomers ? holdingOf(newcomer) : 0), entry.weight);
-        if (holds <= most)
+        bool isNewcomerClass = evictsOwnTeam && name == newcomer.requestClass;
+        double ratio = bytesPerWeight(entry.heldBytes + (isNewcomerClass ? queueFootprint(newcomer) : 0), entry.weight);
+        if (ratio <= maxRatio)
             continue;
-        most = holds;
+        maxRatio = ratio;
         largest = &entry;
-        newcomersClass = isNewcomers;
+        largestIsNewcomerClass = isNewcomerClass;
     }
     if (!largest || largest->byDeadline.empty())
         return std::nullopt;
     auto [deadline, id] = *largest->byDeadline.rbegin();
-    if (newcomersClass && newcomer.deadline >= deadline)
+    if (largestIsNewcomerClass && newcomer.deadline >= deadline)
         return std::nullopt;
-    return state.take(id, now);
+    return state.extractRequest(id, now);
 }
 
-void FairQueue::setTeamHeld(const std::string& team, bool held)
+void FairQueue::setTeamPaused(const std::string& team, bool paused)
 {
     auto found = m_state->teams.find(team);
-    if (found == m_state->teams.end() || found->second.startsHeld == held)
+    if (found == m_state->teams.end() || found->second.paused == paused)
         return;
-    found->second.startsHeld = held;
+    found->second.paused = paused;
     for (auto& [name, pool] : m_state->pools)
-        pool->setHeld(team, held);
+        pool->setTeamPaused(team, paused);
 }
 
 void FairQueue::refreshShares(TimePoint now)
@@ -314,10 +314,10 @@
 
 void FairQueue::applyRemoteService(const ServiceSource& source, const ServiceCounter& counter, TimePoint now)
 {
-    m_state->poolOf(counter.pool).regional().apply(source, counter, now);
+    m_state->findOrCreatePool(counter.pool).regional().apply(source, counter, now);
 }
 
-void FairQueue::forgetSource(const std::string& source)
+void FairQueue::removeSource(const std::string& source)
 {
     for (auto& [name, pool] : m_state->pools)
         pool->regional().forget(source);
--- a/lib/Admission/PoolEntries.cpp
+++ b/lib/Admission/PoolEntries.cpp
@@ -7,18 +7,18 @@
 double PoolQueue::ClassEntry::cost() const
 {
     double sum = 0;
-    for (const auto& [lane, flow] : flows)
-        sum += flow.cost();
+    for (const auto& [group, queue] : queuesByGroup)
+        sum += queue.cost();
     return sum;
 }
 
 const QueuedRequest* PoolQueue::ClassEntry::firstStartable() const
 {
     const QueuedRequest* first = nullptr;
-    for (const auto& [lane, flow] : flows) {
-        if (!lane->canStart)
+    for (const auto& [group, queue] : queuesByGroup) {
+        if (!group->canStart)
             continue;
-        const QueuedRequest& head = flow.front();
+        const QueuedRequest& head = queue.front();
         if (!first || head.deadline < first->deadline || (head.deadline == first->deadline && head.id < first->id))
             first = &head;
     }
@@ -28,8 +28,8 @@
 double PoolQueue::ClassEntry::costAhead(TimePoint deadline) const
 {
     double sum = 0;
-    for (const auto& [lane, flow] : flows)
-        sum += flow.costAhead(deadline);
+    for (const auto& [group, queue] : queuesByGroup)
+        sum += queue.costAhead(deadline);
     return sum;
 }
 
@@ -45,13 +45,13 @@
     return next;
 }
 
-void PoolQueue::TeamEntry::boundClasses(double credit)
+void PoolQueue::TeamEntry::boundClassCounters(double credit)
 {
     // Only differences between counters matter, so the counters are rebased to the
     // virtual time of the classes.
     for (auto& [key, entry] : classes)
-        entry.counter = std::max(entry.counter - classTime, -credit);
-    classTime = 0;
+        entry.counter = std::max(entry.counter - classVirtualTime, -credit);
+    classVirtualTime = 0;
 }
 
 } // namespace catkinwing
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -6,10 +6,10 @@
 namespace catkinwing {
 
 /// The waiting requests of one model and kind, which can all start or all not start.
-struct PoolQueue::Lane {
-    LaneKey key;
+struct PoolQueue::RequestGroup {
+    RequestGroupKey key;
     /// Counter and index of each team with requests in the group that isn't paused.
-    std::set<std::pair<double, std::size_t>> order;
+    std::set<std::pair<double, std::size_t>> teamsByCounter;
     std::size_t queued { 0 };
     /// Result of the start predicate in the current pick.
     bool canStart { false };
@@ -20,7 +20,7 @@
     double weight { 1 };
     double counter { 0 };
     std::size_t queued { 0 };
-    std::map<Lane*, DeadlineQueue> flows;
+    std::map<RequestGroup*, DeadlineQueue> queuesByGroup;
 
     double cost() const;
     /// Returns the request with the earliest deadline in the groups that can start; null
@@ -43,28 +43,28 @@
     /// The configured weight times the fraction of it that counts in this daemon.
     double effectiveWeight { 1 };
     double counter { 0 };
-    bool held { false };
+    bool paused { false };
     std::size_t queued { 0 };
-    /// Number of requests in each group. Unless the team is paused, it is in the order
-    /// of each of these groups.
-    std::map<Lane*, std::size_t> lanes;
+    /// Number of requests in each group. Unless the team is paused, it is in the
+    /// teamsByCounter set of each of these groups.
+    std::map<RequestGroup*, std::size_t> requestsByGroup;
     std::map<std::string, ClassEntry> classes;
     /// Virtual time of the classes: the highest class counter at a pick.
-    double classTime { 0 };
+    double classVirtualTime { 0 };
     /// Tokens charged, which a refund can decrease.
     double served { 0 };
     /// Maximum of the tokens charged so far, reported to the other daemons.
-    double servedPeak { 0 };
+    double maxServed { 0 };
     WeightShift shift;
-    /// Smoothed rate of the maximum, which the other daemons derive as well.
+    /// Smoothed rate of maxServed, as the other daemons compute it from the reports.
     DecayingRate rate;
-    DrainRate drain;
+    DrainRate drainRate;
 
     /// Returns the class with the smallest counter that has a startable request.
     ClassEntry* nextClass();
     /// Rebases the class counters and limits how far each is behind the virtual time to
     /// \p credit tokens per weight.
-    void boundClasses(double credit);
+    void boundClassCounters(double credit);
 };
 
 } // namespace catkinwing
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -10,17 +10,17 @@
 
 /// Virtual time at which all counters are rebased, long before the precision of a
 /// double becomes insufficient.
-static constexpr double rebaseAt = 1e12;
+static constexpr double rebaseThreshold = 1e12;
 /// Maximum age of a team's own drain rate for predictions.
 static constexpr Duration maxRateAge = std::chrono::seconds(30);
 /// Maximum predicted wait; longer predictions are clamped to it.
-static constexpr double maxWaitSeconds = 86400;
+static constexpr double maxPredictedWaitSeconds = 86400;
 
 PoolQueue::PoolQueue(const SharePolicy& policy)
     : m_policy(policy)
     , m_regional(policy)
-    , m_localTotal(policy.rateSmoothing)
-    , m_level(policy.rateSmoothing)
+    , m_localServedRate(policy.rateSmoothing)
+    , m_virtualTimeRate(policy.rateSmoothing)
 {
 }
 
@@ -32,7 +32,7 @@
     return found == m_byName.end() ? nullptr : found->second;
 }
 
-void PoolQueue::setTeam(const TeamPolicy& policy, bool held, TimePoint now)
+void PoolQueue::setTeam(const TeamPolicy& policy, bool paused, TimePoint now)
 {
     TeamEntry* team = find(policy.name);
     if (!team) {
@@ -44,23 +44,23 @@
         team->effectiveWeight = policy.weight;
         team->counter = m_virtualTime;
         team->served = m_removedServed[policy.name];
-        team->servedPeak = team->served;
+        team->maxServed = team->served;
         m_removedServed.erase(policy.name);
         m_byName.emplace(team->name, team);
     }
     team->weight = policy.weight;
-    renewWeight(*team, now);
-    setHeld(policy.name, held);
+    updateEffectiveWeight(*team, now);
+    setTeamPaused(policy.name, paused);
 
-    std::map<std::string, ClassEntry> kept;
+    std::map<std::string, ClassEntry> classes;
     for (const ClassPolicy& classPolicy : policy.classes) {
         auto old = team->classes.find(classPolicy.name);
-        ClassEntry& entry = kept[classPolicy.name];
+        ClassEntry& entry = classes[classPolicy.name];
         if (old != team->classes.end())
             entry = std::move(old->second);
         entry.weight = classPolicy.weight;
     }
-    team->classes = std::move(kept);
+    team->classes = std::move(classes);
 }
 
 void PoolQueue::removeTeam(const std::string& name)
@@ -69,61 +69,61 @@
     if (!team)
         return;
     assert(!team->queued && "a team with queued requests can't be removed");
-    if (team->servedPeak >= 1)
-        m_removedServed[name] = team->servedPeak;
+    if (team->maxServed >= 1)
+        m_removedServed[name] = team->maxServed;
     m_byName.erase(name);
     m_regional.forgetTeam(name);
     // The last team takes the freed index, which is part of its key in the groups'
-    // orders.
+    // teamsByCounter sets.
     TeamEntry& last = *m_teams.back();
     std::size_t index = team->index;
     if (&last != team) {
-        leaveOrders(last);
+        removeFromGroups(last);
         last.index = index;
-        joinOrders(last);
+        addToGroups(last);
         std::swap(m_teams[index], m_teams.back());
     }
     m_teams.pop_back();
 }
 
-void PoolQueue::setHeld(const std::string& name, bool held)
+void PoolQueue::setTeamPaused(const std::string& name, bool paused)
 {
     TeamEntry* team = find(name);
-    if (!team || team->held == held)
+    if (!team || team->paused == paused)
         return;
-    leaveOrders(*team);
-    team->held = held;
-    joinOrders(*team);
+    removeFromGroups(*team);
+    team->paused = paused;
+    addToGroups(*team);
 }
 
-void PoolQueue::leaveOrders(TeamEntry& team)
+void PoolQueue::removeFromGroups(TeamEntry& team)
 {
-    if (team.held)
+    if (team.paused)
         return;
-    for (auto& [lane, queued] : team.lanes)
-        lane->order.erase({ team.counter, team.index });
+    for (auto& [group, queued] : team.requestsByGroup)
+        group->teamsByCounter.erase({ team.counter, team.index });
 }
 
-void PoolQueue::joinOrders(TeamEntry& team)
+void PoolQueue::addToGroups(TeamEntry& team)
 {
-    if (team.held)
+    if (team.paused)
         return;
-    for (auto& [lane, queued] : team.lanes)
-        lane->order.insert({ team.counter, team.index });
+    for (auto& [group, queued] : team.requestsByGroup)
+        group->teamsByCounter.insert({ team.counter, team.index });
 }
 
 void PoolQueue::setCounter(TeamEntry& team, double counter)
 {
     if (counter == team.counter)
         return;
-    for (auto& [lane, queued] : team.lanes) {
-        if (team.held)
+    for (auto& [group, queued] : team.requestsByGroup) {
+        if (team.paused)
             break;
         // The set node is reused to avoid an allocation, since a refresh moves every
         // backlogged team.
-        auto node = lane->order.extract({ team.counter, team.index });
+        auto node = group->teamsByCounter.extract({ team.counter, team.index });
         node.value().first = counter;
-        lane->order.insert(std::move(node));
+        group->teamsByCounter.insert(std::move(node));
     }
     team.counter = counter;
 }
@@ -131,99 +131,99 @@
 void PoolQueue::add(const QueuedRequest& request, TimePoint now)
 {
     TeamEntry& team = *find(request.team);
-    auto [laneEntry, newLane] = m_lanes.try_emplace({ request.model, request.kind });
-    Lane& lane = laneEntry->second;
+    auto [groupEntry, isNewGroup] = m_groups.try_emplace({ request.model, request.kind });
+    RequestGroup& group = groupEntry->second;
     if (!team.queued)
-        beginBacklog(team, lane, now);
+        beginBacklog(team, group, now);
     ClassEntry& entry = team.classes.at(request.requestClass);
     // Like an idle team, an idle class accumulates no credit against the team's other
     // classes.
     if (!entry.queued)
-        entry.counter = std::max(entry.counter, team.classTime);
+        entry.counter = std::max(entry.counter, team.classVirtualTime);
 
-    entry.flows[&lane].add(request);
+    entry.queuesByGroup[&group].add(request);
     ++entry.queued;
     ++team.queued;
-    ++lane.queued;
-    if (++team.lanes[&lane] == 1 && !team.held)
-        lane.order.insert({ team.counter, team.index });
+    ++group.queued;
+    if (++team.requestsByGroup[&group] == 1 && !team.paused)
+        group.teamsByCounter.insert({ team.counter, team.index });
     ++(request.kind == WorkKind::Short ? m_waitingShort : m_waitingLong);
-    m_drain.setBusy(true, now);
+    m_drainRate.setBusy(true, now);
 }
 
-void PoolQueue::beginBacklog(TeamEntry& team, const Lane& lane, TimePoint now)
+void PoolQueue::beginBacklog(TeamEntry& team, const RequestGroup& group, TimePoint now)
 {
-    renewWeight(team, now);
+    updateEffectiveWeight(team, now);
     // Raises the counter to the virtual time, so that an idle team accumulates no
-    // credit. If the group couldn't start and is behind the virtual time, raises it
-    // only to the smallest counter in the group.
-    double present = m_virtualTime;
-    if (!lane.order.empty())
-        present = std::min(present, lane.order.begin()->first);
-    team.counter = std::max(team.counter, present);
+    // credit. If the smallest counter in the group is behind the virtual time because the
+    // group couldn't start, raises it only to that counter.
+    double startCounter = m_virtualTime;
+    if (!group.teamsByCounter.empty())
+        startCounter = std::min(startCounter, group.teamsByCounter.begin()->first);
+    team.counter = std::max(team.counter, startCounter);
     m_backloggedWeight += team.effectiveWeight;
-    team.drain.setBusy(true, now);
+    team.drainRate.setBusy(true, now);
 }
 
 void PoolQueue::endBacklog(TeamEntry& team, TimePoint now)
 {
     m_backloggedWeight = std::max(0.0, m_backloggedWeight - team.effectiveWeight);
-    team.drain.setBusy(false, now);
+    team.drainRate.setBusy(false, now);
     if (!empty())
         return;
     m_backloggedWeight = 0;
-    m_drain.setBusy(false, now);
+    m_drainRate.setBusy(false, now);
 }
 
 void PoolQueue::remove(const QueuedRequest& request, TimePoint now)
 {
     TeamEntry& team = *find(request.team);
-    auto laneEntry = m_lanes.find({ request.model, request.kind });
-    assert(laneEntry != m_lanes.end() && "a queued request must have a group");
-    Lane& lane = laneEntry->second;
+    auto groupEntry = m_groups.find({ request.model, request.kind });
+    assert(groupEntry != m_groups.end() && "a queued request must have a group");
+    RequestGroup& group = groupEntry->second;
     ClassEntry& entry = team.classes.at(request.requestClass);
 
-    auto flow = entry.flows.find(&lane);
-    flow->second.remove(request);
-    if (flow->second.empty())
-        entry.flows.erase(flow);
+    auto queue = entry.queuesByGroup.find(&group);
+    queue->second.remove(request);
+    if (queue->second.empty())
+        entry.queuesByGroup.erase(queue);
     --entry.queued;
     --team.queued;
     --(request.kind == WorkKind::Short ? m_waitingShort : m_waitingLong);
-    if (--team.lanes[&lane] == 0) {
-        lane.order.erase({ team.counter, team.index });
-        team.lanes.erase(&lane);
+    if (--team.requestsByGroup[&group] == 0) {
+        group.teamsByCounter.erase({ team.counter, team.index });
+        team.requestsByGroup.erase(&group);
     }
-    if (--lane.queued == 0)
-        m_lanes.erase(laneEntry);
+    if (--group.queued == 0)
+        m_groups.erase(groupEntry);
     if (!team.queued)
         endBacklog(team, now);
 }
 
-PoolQueue::Lane* PoolQueue::bestLane(const CanStart& canStart)
+PoolQueue::RequestGroup* PoolQueue::findBestGroup(const CanStart& canStart)
 {
-    Lane* best = nullptr;
-    for (auto& [key, lane] : m_lanes) {
-        lane.canStart = false;
-        if (lane.order.empty())
+    RequestGroup* best = nullptr;
+    for (auto& [key, group] : m_groups) {
+        group.canStart = false;
+        if (group.teamsByCounter.empty())
             continue;
-        lane.canStart = canStart(headOf(lane));
-        if (!lane.canStart)
+        group.canStart = canStart(sampleRequest(group));
+        if (!group.canStart)
             continue;
-        if (!best || *lane.order.begin() < *best->order.begin())
-            best = &lane;
+        if (!best || *group.teamsByCounter.begin() < *best->teamsByCounter.begin())
+            best = &group;
     }
     return best;
 }
 
-const QueuedRequest& PoolQueue::headOf(Lane& lane) const
+const QueuedRequest& PoolQueue::sampleRequest(RequestGroup& group) const
 {
-    const TeamEntry& team = *m_teams[lane.order.begin()->second];
+    const TeamEntry& team = *m_teams[group.teamsByCounter.begin()->second];
     const QueuedRequest* head = nullptr;
     for (const auto& [name, entry] : team.classes) {
-        auto flow = entry.flows.find(&lane);
-        if (flow != entry.flows.end())
-            head = &flow->second.front();
+        auto queue = entry.queuesByGroup.find(&group);
+        if (queue != entry.queuesByGroup.end())
+            head = &queue->second.front();
     }
     assert(head && "a team in a group's order must have requests in it");
     return *head;
@@ -231,25 +231,25 @@
 
 const QueuedRequest* PoolQueue::pick(const CanStart& canStart, TimePoint now)
 {
-    Lane* lane = bestLane(canStart);
-    if (!lane)
+    RequestGroup* group = findBestGroup(canStart);
+    if (!group)
         return nullptr;
-    TeamEntry& team = *m_teams[lane->order.begin()->second];
+    TeamEntry& team = *m_teams[group->teamsByCounter.begin()->second];
     ClassEntry& entry = *team.nextClass();
     const QueuedRequest* request = entry.firstStartable();
     if (team.counter > m_virtualTime)
-        m_level.add(team.counter - m_virtualTime, now);
+        m_virtualTimeRate.add(team.counter - m_virtualTime, now);
     m_virtualTime = std::max(m_virtualTime, team.counter);
-    team.classTime = std::max(team.classTime, entry.counter);
+    team.classVirtualTime = std::max(team.classVirtualTime, entry.counter);
     charge(team, entry, request->cost, now);
     // Drain rates count estimated costs, as does the cost of the waiting requests, so
     // that a bias of the estimates cancels out in the predicted wait.
-    team.drain.add(request->cost, now);
-    m_drain.add(request->cost, now);
+    team.drainRate.add(request->cost, now);
+    m_drainRate.add(request->cost, now);
     return request;
 }
 
-void PoolQueue::correct(const std::string& name, const std::string& requestClass, double tokens, TimePoint now)
+void PoolQueue::adjustCharge(const std::string& name, const std::string& requestClass, double tokens, TimePoint now)
 {
     TeamEntry* team = find(name);
     if (!team)
@@ -261,32 +261,32 @@
 
 void PoolQueue::charge(TeamEntry& team, ClassEntry& entry, double tokens, TimePoint now)
 {
-    renewWeight(team, now);
+    updateEffectiveWeight(team, now);
     setCounter(team, team.counter + tokens / team.effectiveWeight);
     entry.counter += tokens / entry.weight;
 
     // Refunds of earlier charges are offset against later charges, so that the counter
     // reported to the other daemons never decreases.
     team.served += tokens;
-    double gained = std::max(0.0, team.served - team.servedPeak);
-    team.servedPeak += gained;
-    team.rate.add(gained, now);
-    m_localTotal.add(gained, now);
+    double increase = std::max(0.0, team.served - team.maxServed);
+    team.maxServed += increase;
+    team.rate.add(increase, now);
+    m_localServedRate.add(increase, now);
 }
 
 double PoolQueue::weightFraction(const std::string& name, TimePoint now) const
 {
     const TeamEntry* team = find(name);
-    return team ? team->shift.fraction(standingOf(*team, now)) : 1;
+    return team ? team->shift.fraction(regionalStanding(*team, now)) : 1;
 }
 
-RegionalStanding PoolQueue::standingOf(const TeamEntry& team, TimePoint now) const
+RegionalStanding PoolQueue::regionalStanding(const TeamEntry& team, TimePoint now) const
 {
-    LocalService local { team.rate.rate(now), m_localTotal.rate(now), m_level.rate(now) * team.weight };
+    LocalService local { team.rate.rate(now), m_localServedRate.rate(now), m_virtualTimeRate.rate(now) * team.weight };
     return m_regional.standing(team.name, local, now);
 }
 
-void PoolQueue::renewWeight(TeamEntry& team, TimePoint now)
+void PoolQueue::updateEffectiveWeight(TeamEntry& team, TimePoint now)
 {
     double weight = team.weight * weightFraction(team.name, now);
     double old = team.effectiveWeight;
@@ -306,19 +306,19 @@
 void PoolQueue::refresh(TimePoint now)
 {
     m_regional.prune(now);
-    rebase();
+    rebaseCounters();
     double floor = creditFloor(now);
     double credit = Seconds(m_policy.creditWindow).count();
     m_backloggedWeight = 0;
     // Idle teams are updated when they have requests again.
     for (const auto& team : m_teams) {
-        if (team->classTime > rebaseAt)
-            team->boundClasses(rebaseAt);
+        if (team->classVirtualTime > rebaseThreshold)
+            team->boundClassCounters(rebaseThreshold);
         if (!team->queued)
             continue;
-        team->shift.adapt(standingOf(*team, now), now);
-        renewWeight(*team, now);
-        team->boundClasses(credit * team->rate.rate(now));
+        team->shift.adapt(regionalStanding(*team, now), now);
+        updateEffectiveWeight(*team, now);
+        team->boundClassCounters(credit * team->rate.rate(now));
         setCounter(*team, std::max(team->counter, floor));
         m_backloggedWeight += team->effectiveWeight;
     }
@@ -326,21 +326,21 @@
 
 double PoolQueue::creditFloor(TimePoint now)
 {
-    m_history.emplace_back(now, m_virtualTime);
-    while (m_history.size() > 1 && m_history[1].first <= now - m_policy.creditWindow)
-        m_history.pop_front();
-    bool covered = m_history.front().first <= now - m_policy.creditWindow;
-    return covered ? m_history.front().second : std::numeric_limits<double>::lowest();
+    m_virtualTimeHistory.emplace_back(now, m_virtualTime);
+    while (m_virtualTimeHistory.size() > 1 && m_virtualTimeHistory[1].first <= now - m_policy.creditWindow)
+        m_virtualTimeHistory.pop_front();
+    bool covered = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
+    return covered ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
 }
 
-void PoolQueue::rebase()
+void PoolQueue::rebaseCounters()
 {
-    if (m_virtualTime < rebaseAt)
+    if (m_virtualTime < rebaseThreshold)
         return;
     double shift = m_virtualTime;
     for (const auto& team : m_teams)
         setCounter(*team, team->counter - shift);
-    for (auto& [at, time] : m_history)
+    for (auto& [at, time] : m_virtualTimeHistory)
         time -= shift;
     m_virtualTime = 0;
 }
@@ -348,8 +348,8 @@
 void PoolQueue::appendCounters(const std::string& pool, std::vector<ServiceCounter>& counters) const
 {
     for (const auto& team : m_teams) {
-        if (team->servedPeak >= 1)
-            counters.push_back({ team->name, pool, static_cast<std::uint64_t>(team->servedPeak) });
+        if (team->maxServed >= 1)
+            counters.push_back({ team->name, pool, static_cast<std::uint64_t>(team->maxServed) });
     }
 }
 
@@ -358,14 +358,14 @@
     const TeamEntry* team = find(name);
     if (!team)
         return std::nullopt;
-    std::optional<double> own = team->drain.rate(now);
-    if (own && now - team->drain.lastBusy(now) <= maxRateAge)
-        return own;
-    std::optional<double> all = m_drain.rate(now);
-    if (!all)
+    std::optional<double> ownRate = team->drainRate.rate(now);
+    if (ownRate && now - team->drainRate.lastBusy(now) <= maxRateAge)
+        return ownRate;
+    std::optional<double> poolRate = m_drainRate.rate(now);
+    if (!poolRate)
         return std::nullopt;
-    double competing = m_backloggedWeight + (team->queued ? 0 : team->effectiveWeight);
-    return *all * team->effectiveWeight / std::max(competing, team->effectiveWeight);
+    double competingWeight = m_backloggedWeight + (team->queued ? 0 : team->effectiveWeight);
+    return *poolRate * team->effectiveWeight / std::max(competingWeight, team->effectiveWeight);
 }
 
 std::optional<Duration> PoolQueue::predictedWait(const QueuedRequest& request, TimePoint now) const
@@ -392,8 +392,8 @@
         others += entry.cost();
     }
     double tokens = std::min(ahead * weights / own->second.weight, ahead + others);
-    double seconds = *rate > 0 ? tokens / *rate : maxWaitSeconds;
-    return std::chrono::ceil<Duration>(Seconds(std::min(seconds, maxWaitSeconds)));
+    double seconds = *rate > 0 ? tokens / *rate : maxPredictedWaitSeconds;
+    return std::chrono::ceil<Duration>(Seconds(std::min(seconds, maxPredictedWaitSeconds)));
 }
 
 } // namespace catkinwing
--- a/unittests/Admission/AdmissionControllerTest.cpp
+++ b/unittests/Admission/AdmissionControllerTest.cpp
@@ -8,7 +8,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static bool always(const QueuedRequest&)
+static bool alwaysCanStart(const QueuedRequest&)
 {
     return true;
 }
@@ -57,7 +57,7 @@
     request.requestClass = "chat";
     CHECK(fixture.controller.admit(request, fixture.now).admitted());
     CHECK(reasonOf(fixture.controller.admit(request, fixture.now)) == RefusalReason::DuplicateId);
-    REQUIRE(fixture.controller.next(always, fixture.now));
+    REQUIRE(fixture.controller.next(alwaysCanStart, fixture.now));
     CHECK(reasonOf(fixture.controller.admit(request, fixture.now)) == RefusalReason::DuplicateId);
 }
 
@@ -68,13 +68,13 @@
     Fixture fixture({ limitedTeam("a", limits), teamOf("b", 1) });
     for (int i = 0; i < 4; ++i)
         CHECK(fixture.admit("a").admitted());
-    std::optional<QueuedRequest> first = fixture.controller.next(always, fixture.now);
-    CHECK(fixture.controller.next(always, fixture.now));
-    CHECK_FALSE(fixture.controller.next(always, fixture.now));
+    std::optional<QueuedRequest> first = fixture.controller.next(alwaysCanStart, fixture.now);
+    CHECK(fixture.controller.next(alwaysCanStart, fixture.now));
+    CHECK_FALSE(fixture.controller.next(alwaysCanStart, fixture.now));
     CHECK(fixture.admit("b").admitted());
-    CHECK(fixture.controller.next(always, fixture.now)->team == "b");
+    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->team == "b");
     fixture.controller.finished(first->id, 100, fixture.now);
-    CHECK(fixture.controller.next(always, fixture.now)->team == "a");
+    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->team == "a");
     CHECK(fixture.controller.inFlight() == 3);
 }
 
@@ -91,7 +91,7 @@
     CHECK(reasonOf(fixture.admit("a", "y")) == RefusalReason::TeamQueueFull);
     // Requests in flight count towards the caller's limit; finished and removed ones
     // don't.
-    std::optional<QueuedRequest> started = fixture.controller.next(always, fixture.now);
+    std::optional<QueuedRequest> started = fixture.controller.next(alwaysCanStart, fixture.now);
     CHECK(reasonOf(fixture.admit("a", "x")) == RefusalReason::CallerConcurrency);
     fixture.controller.finished(started->id, 0, fixture.now);
     CHECK(fixture.admit("a", "x").admitted());
@@ -115,18 +115,18 @@
         CHECK(reasonOf(fixture.admit("a")) == RefusalReason::RequestRate);
         fixture.now += 1us;
         REQUIRE(fixture.admit("a").admitted());
-        fixture.controller.finished(fixture.controller.next(always, fixture.now)->id, 100, fixture.now);
+        fixture.controller.finished(fixture.controller.next(alwaysCanStart, fixture.now)->id, 100, fixture.now);
     }
 }
 
 /// Starts and finishes a request of 100 tokens every 100 ms for \p span, as long as
 /// requests are queued.
-static void drain(Fixture& fixture, Duration span)
+static void serveBacklog(Fixture& fixture, Duration span)
 {
     TimePoint end = fixture.now + span;
     while (fixture.now < end) {
         fixture.now += 100ms;
-        if (std::optional<QueuedRequest> next = fixture.controller.next(always, fixture.now))
+        if (std::optional<QueuedRequest> next = fixture.controller.next(alwaysCanStart, fixture.now))
             fixture.controller.finished(next->id, 100, fixture.now);
     }
 }
@@ -136,34 +136,34 @@
     Fixture fixture({ teamOf("a", 1) });
     for (int i = 0; i < 300; ++i)
         CHECK(fixture.admit("a").admitted());
-    drain(fixture, 10s);
+    serveBacklog(fixture, 10s);
     // 200 requests wait and ten are started per second, so the wait is 20 s.
     QueuedRequest probe = requestOf("a", 0, 100, fixture.now, 60s);
     CHECK(std::chrono::duration<double>(*fixture.controller.predictedWait(probe, fixture.now)).count() == Approx(20).epsilon(0.05));
     CHECK(fixture.admit("a", "", 26s).admitted());
 
-    QueuedRequest tight = requestOf("a", 1000, 100, fixture.now, 100s);
-    tight.expectedService = 90s;
-    AdmissionDecision refused = fixture.controller.admit(tight, fixture.now);
+    QueuedRequest tightRequest = requestOf("a", 1000, 100, fixture.now, 100s);
+    tightRequest.expectedService = 90s;
+    AdmissionDecision refused = fixture.controller.admit(tightRequest, fixture.now);
     REQUIRE(reasonOf(refused) == RefusalReason::PredictedLate);
     // The request can wait 10 s, of which a fifth is the safety margin. The allowed 8 s
     // are 12 s less than the predicted wait.
     CHECK(std::chrono::duration<double>(*refused.refusal->retryAfter).count() == Approx(12).epsilon(0.1));
     // The retry-after time is accurate: a retry then is admitted and started in time.
-    tight.deadline += *refused.refusal->retryAfter - 200ms;
-    drain(fixture, *refused.refusal->retryAfter - 200ms);
-    CHECK(reasonOf(fixture.controller.admit(tight, fixture.now)) == RefusalReason::PredictedLate);
-    drain(fixture, 400ms);
-    tight.deadline = fixture.now + 100s;
-    CHECK(fixture.controller.admit(tight, fixture.now).admitted());
-    drain(fixture, 10s);
+    tightRequest.deadline += *refused.refusal->retryAfter - 200ms;
+    serveBacklog(fixture, *refused.refusal->retryAfter - 200ms);
+    CHECK(reasonOf(fixture.controller.admit(tightRequest, fixture.now)) == RefusalReason::PredictedLate);
+    serveBacklog(fixture, 400ms);
+    tightRequest.deadline = fixture.now + 100s;
+    CHECK(fixture.controller.admit(tightRequest, fixture.now).admitted());
+    serveBacklog(fixture, 10s);
     for (const DroppedRequest& dropped : fixture.controller.expire(fixture.now))
-        CHECK(dropped.request.id != tight.id);
+        CHECK(dropped.request.id != tightRequest.id);
 
     // The request would be late even without a wait, so a retry wouldn't help.
-    tight.id = 1001;
-    tight.deadline = fixture.now + 80s;
-    refused = fixture.controller.admit(tight, fixture.now);
+    tightRequest.id = 1001;
+    tightRequest.deadline = fixture.now + 80s;
+    refused = fixture.controller.admit(tightRequest, fixture.now);
     CHECK(reasonOf(refused) == RefusalReason::PredictedLate);
     CHECK_FALSE(refused.refusal->retryAfter);
 }
@@ -176,7 +176,7 @@
     // Each request costs three times its estimate; ten per second are started.
     for (int i = 0; i < 100; ++i) {
         fixture.now += 100ms;
-        std::optional<QueuedRequest> next = fixture.controller.next(always, fixture.now);
+        std::optional<QueuedRequest> next = fixture.controller.next(alwaysCanStart, fixture.now);
         fixture.controller.finished(next->id, 300, fixture.now);
     }
     QueuedRequest probe = requestOf("a", 0, 100, fixture.now, 60s);
@@ -205,7 +205,7 @@
     CHECK(fixture.admit("a", "", 5s).admitted());
     CHECK(fixture.admit("a", "", 5s).admitted());
     fixture.now += 6s;
-    CHECK_FALSE(fixture.controller.next(always, fixture.now));
+    CHECK_FALSE(fixture.controller.next(alwaysCanStart, fixture.now));
     // The caller may still disconnect before expire() returns the request.
     CHECK(fixture.controller.remove(1, fixture.now));
     CHECK_FALSE(fixture.controller.remove(1, fixture.now));
@@ -242,11 +242,11 @@
     Fixture fixture({ teamOf("a", 1), teamOf("b", 1) });
     CHECK(fixture.admit("a").admitted());
     CHECK(fixture.admit("b").admitted());
-    std::optional<QueuedRequest> first = fixture.controller.next(always, fixture.now);
+    std::optional<QueuedRequest> first = fixture.controller.next(alwaysCanStart, fixture.now);
     CHECK(fixture.controller.putBack(first->id, fixture.now));
     CHECK(fixture.controller.inFlight() == 0);
     CHECK(fixture.controller.queued() == 2);
-    CHECK(fixture.controller.next(always, fixture.now)->id == first->id);
+    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->id == first->id);
     fixture.controller.configure({ teamOf("b", 1) }, fixture.now);
     CHECK_FALSE(fixture.controller.putBack(first->id, fixture.now));
 }
@@ -260,8 +260,8 @@
         CHECK(fixture.admit("a", "x").admitted());
         CHECK(fixture.admit("gone", "x").admitted());
     }
-    std::optional<QueuedRequest> first = fixture.controller.next(always, fixture.now);
-    std::optional<QueuedRequest> second = fixture.controller.next(always, fixture.now);
+    std::optional<QueuedRequest> first = fixture.controller.next(alwaysCanStart, fixture.now);
+    std::optional<QueuedRequest> second = fixture.controller.next(alwaysCanStart, fixture.now);
     CHECK(first->team != second->team);
 
     std::vector<DroppedRequest> dropped = fixture.controller.configure({ teamOf("a", 1) }, fixture.now);
@@ -270,7 +270,7 @@
         CHECK((entry.request.team == "gone" && entry.refusal.reason == RefusalReason::PolicyRemoved));
     // The limit no longer applies, and a request in flight can finish after its team
     // was removed.
-    CHECK(fixture.controller.next(always, fixture.now)->team == "a");
+    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->team == "a");
     fixture.controller.finished(first->id, 100, fixture.now);
     fixture.controller.finished(second->id, 100, fixture.now);
     CHECK(fixture.controller.inFlight() == 1);
@@ -279,7 +279,7 @@
     fixture.controller.configure({}, fixture.now);
     fixture.controller.configure({ limitedTeam("a", limits) }, fixture.now);
     CHECK(fixture.admit("a").admitted());
-    CHECK_FALSE(fixture.controller.next(always, fixture.now));
+    CHECK_FALSE(fixture.controller.next(alwaysCanStart, fixture.now));
 }
 
 TEST_CASE("short questions find free slots under a flood of long reviews")
@@ -295,28 +295,28 @@
     constexpr std::size_t slots = 10;
     controller.setSlots("m", slots);
     RequestId id = 0;
-    std::size_t busy = 0;
+    std::size_t busySlots = 0;
     std::vector<Duration> waits;
     double longBusySeconds = 0;
-    std::function<void()> pump = [&] {
-        while (busy < slots) {
-            std::optional<QueuedRequest> next = controller.next(always, now());
+    std::function<void()> startRequests = [&] {
+        while (busySlots < slots) {
+            std::optional<QueuedRequest> next = controller.next(alwaysCanStart, now());
             if (!next)
                 return;
-            ++busy;
+            ++busySlots;
             bool isShort = next->kind == WorkKind::Short;
             if (isShort)
                 waits.push_back(now() - next->enqueuedAt);
             else
                 longBusySeconds += 60;
             scheduler.callAfter(isShort ? Duration(1s) : Duration(60s), [&, done = *next] {
-                --busy;
+                --busySlots;
                 controller.finished(done.id, done.cost, now());
-                pump();
+                startRequests();
             });
         }
     };
-    auto step = [&](bool ask) {
+    auto step = [&](bool sendQuestions) {
         scheduler.advance(100ms);
         controller.expire(now());
         while (controller.queued() < 20) {
@@ -325,9 +325,9 @@
             controller.admit(review, now());
         }
         // One question per second on average, at random times.
-        if (ask && random.below(10) == 0)
+        if (sendQuestions && random.below(10) == 0)
             controller.admit(requestOf("questions", ++id, 300, now(), 10s), now());
-        pump();
+        startRequests();
     };
     // Reviews that started before the first question hold all but one slot for their
     // minute.
@@ -357,23 +357,23 @@
     Random random(5);
     INFO("seed 5");
     constexpr std::size_t slots = 16;
-    std::size_t busy = 0;
+    std::size_t busySlots = 0;
     std::map<std::string, double> served;
     std::size_t expired = 0;
-    std::function<void()> pump = [&] {
-        while (busy < slots) {
-            std::optional<QueuedRequest> next = fixture.controller.next(always, fixture.now);
+    std::function<void()> startRequests = [&] {
+        while (busySlots < slots) {
+            std::optional<QueuedRequest> next = fixture.controller.next(alwaysCanStart, fixture.now);
             if (!next)
                 return;
-            ++busy;
+            ++busySlots;
             served[next->team] += next->cost;
             // A slot serves 1000 tokens per second; estimates are off by up to half.
             double actual = next->cost * (0.5 + random.unit());
             scheduler.callAfter(std::chrono::ceil<Duration>(std::chrono::duration<double>(actual / 1000)), [&, id = next->id, actual] {
-                --busy;
+                --busySlots;
                 fixture.now = scheduler.clock().now();
                 fixture.controller.finished(id, actual, fixture.now);
-                pump();
+                startRequests();
             });
         }
     };
@@ -386,7 +386,7 @@
             for (std::uint64_t n = random.below(4); n; --n)
                 fixture.admit(team, "", 5s);
         }
-        pump();
+        startRequests();
     }
     double total = served["a"] + served["b"] + served["c"];
     CHECK(served["a"] / total == Approx(0.1).epsilon(0.05));
--- a/unittests/Admission/FairQueueTest.cpp
+++ b/unittests/Admission/FairQueueTest.cpp
@@ -8,7 +8,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static bool always(const QueuedRequest&)
+static bool alwaysCanStart(const QueuedRequest&)
 {
     return true;
 }
@@ -81,7 +81,7 @@
     queue.enqueue(requestOf("a", 2, 100, now, 10s), now);
     queue.enqueue(requestOf("a", 3, 100, now, 20s), now);
     std::vector<RequestId> order;
-    while (std::optional<QueuedRequest> next = queue.pickNext(always, now))
+    while (std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now))
         order.push_back(next->id);
     CHECK(order == std::vector<RequestId> { 2, 3, 1 });
 }
@@ -105,11 +105,11 @@
         REQUIRE((first && second));
         CHECK(first->id + second->id == 5);
         CHECK_FALSE(queue.pickNext(notFull, now));
-        CHECK(queue.pickNext(always, now)->id == 1);
+        CHECK(queue.pickNext(alwaysCanStart, now)->id == 1);
     }
 }
 
-TEST_CASE("classes of a team are served by their weights")
+TEST_CASE("classes of a team are served by their weights and none starves")
 {
     FairQueue queue;
     TimePoint now {};
@@ -129,7 +129,7 @@
             add("question", 100);
         while (queue.waiting("m", WorkKind::Long) < 4)
             add("review", 5000);
-        std::optional<QueuedRequest> next = queue.pickNext(always, now);
+        std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now);
         (next->kind == WorkKind::Short ? question : review) += next->cost;
     }
     CHECK(question / review == Approx(3).epsilon(0.05));
@@ -157,11 +157,11 @@
         queue.refreshShares(now);
     }
     add("free", "open");
-    int ahead = 0;
-    while (queue.pickNext(always, now)->team == "stuck")
-        ++ahead;
-    CHECK(ahead >= 45);
-    CHECK(ahead <= 55);
+    int stuckBeforeFree = 0;
+    while (queue.pickNext(alwaysCanStart, now)->team == "stuck")
+        ++stuckBeforeFree;
+    CHECK(stuckBeforeFree >= 45);
+    CHECK(stuckBeforeFree <= 55);
 }
 
 TEST_CASE("settling charges the actual cost of a request")
@@ -176,7 +176,7 @@
             while (queue.teamSize(team) < 2)
                 queue.enqueue(requestOf(team, ++id, 100, now, 1h), now);
         }
-        std::optional<QueuedRequest> next = queue.pickNext(always, now);
+        std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now);
         // The estimates of one team are too low by a factor of four.
         double cost = next->team == "low" ? 400 : 100;
         queue.settle(*next, cost, now);
@@ -231,7 +231,7 @@
     for (RequestId id = 10; id < 2000; ++id)
         queue.enqueue(requestOf(id % 2 ? "a" : "b", id, 100, now, 1h), now);
     for (int i = 0; i < 100; ++i)
-        queue.pickNext(always, now);
+        queue.pickNext(alwaysCanStart, now);
     QueuedRequest old = requestOf("a", 1, 100, now, 1h);
     old.requestClass = "old";
     queue.enqueue(old, now);
@@ -246,7 +246,7 @@
 
     int servedA = 0;
     for (int i = 0; i < 500; ++i)
-        servedA += queue.pickNext(always, now)->team == "a" ? 1 : 0;
+        servedA += queue.pickNext(alwaysCanStart, now)->team == "a" ? 1 : 0;
     CHECK(servedA == Approx(400).margin(10));
 }
 
@@ -259,50 +259,50 @@
         TimePoint now {};
         std::vector<TeamPolicy> teams { teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) };
         queue.configure(teams, now);
-        std::map<RequestId, std::size_t> inside;
-        auto leave = [&](const QueuedRequest& request) { REQUIRE(inside.erase(request.id) == 1); };
+        std::map<RequestId, std::size_t> expectedBytes;
+        auto removeExpected = [&](const QueuedRequest& request) { REQUIRE(expectedBytes.erase(request.id) == 1); };
         for (RequestId id = 1; id < 4000; ++id) {
             now += std::chrono::milliseconds(random.below(200));
             QueuedRequest request = requestOf(teams[random.below(3)].name, id, 1 + static_cast<double>(random.below(5000)), now, std::chrono::milliseconds(random.below(40000)));
             request.model = random.below(2) ? "m" : "n";
             request.pool = random.below(2) ? "m" : "";
             request.bytes = random.below(1000);
-            inside[id] = request.bytes;
+            expectedBytes[id] = request.bytes;
             queue.enqueue(request, now);
             std::uint64_t blocked = random.below(3);
             auto canStart = [&](const QueuedRequest& candidate) { return candidate.model != (blocked == 0 ? "m" : blocked == 1 ? "n"
                                                                                                                                : "-"); };
             if (std::optional<QueuedRequest> next = queue.pickNext(canStart, now)) {
                 CHECK(canStart(*next));
-                leave(*next);
+                removeExpected(*next);
                 queue.settle(*next, static_cast<double>(random.below(9000)), now);
             }
             if (random.below(4) == 0) {
                 if (std::optional<QueuedRequest> removed = queue.remove(1 + random.below(id), now))
-                    leave(*removed);
+                    removeExpected(*removed);
             }
             if (random.below(10) == 0) {
                 for (const QueuedRequest& late : queue.expire(now))
-                    leave(late);
+                    removeExpected(late);
             }
             if (random.below(50) == 0)
-                queue.setTeamHeld("b", random.below(2) == 0);
+                queue.setTeamPaused("b", random.below(2) == 0);
             if (random.below(100) == 0) {
                 queue.refreshShares(now);
                 for (const QueuedRequest& orphan : queue.configure({ teams[0], teams[2] }, now))
-                    leave(orphan);
+                    removeExpected(orphan);
                 queue.configure(teams, now);
             }
             std::size_t bytes = 0;
-            for (const auto& [known, size] : inside)
+            for (const auto& [known, size] : expectedBytes)
                 bytes += size;
-            REQUIRE(queue.size() == inside.size());
+            REQUIRE(queue.size() == expectedBytes.size());
             REQUIRE(queue.bytes() == bytes);
         }
-        queue.setTeamHeld("b", false);
-        while (std::optional<QueuedRequest> next = queue.pickNext(always, now))
-            leave(*next);
-        CHECK(inside.empty());
+        queue.setTeamPaused("b", false);
+        while (std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now))
+            removeExpected(*next);
+        CHECK(expectedBytes.empty());
     }
 }
 
@@ -319,7 +319,7 @@
             while (queue.teamSize(team) < 3)
                 queue.enqueue(requestOf(team, ++id, 6e7, now, 1000h), now);
         }
-        queue.pickNext(always, now);
+        queue.pickNext(alwaysCanStart, now);
         queue.refreshShares(now);
     }
     int servedA = 0;
@@ -328,7 +328,7 @@
             while (queue.teamSize(team) < 3)
                 queue.enqueue(requestOf(team, ++id, 6e7, now, 1000h), now);
         }
-        servedA += queue.pickNext(always, now)->team == "a" ? 1 : 0;
+        servedA += queue.pickNext(alwaysCanStart, now)->team == "a" ? 1 : 0;
     }
     CHECK(servedA == Approx(1000).margin(10));
 }
@@ -339,21 +339,21 @@
     TimePoint now {};
     queue.configure({ teamOf("a", 1) }, now);
     RequestId id = 0;
-    std::uint64_t told = 0;
+    std::uint64_t reported = 0;
     auto serve = [&](double actual) {
         queue.enqueue(requestOf("a", ++id, 100, now, 1h), now);
-        queue.settle(*queue.pickNext(always, now), actual, now);
+        queue.settle(*queue.pickNext(alwaysCanStart, now), actual, now);
         std::vector<ServiceCounter> counters = queue.servedCounters();
         REQUIRE(counters.size() == 1);
-        CHECK(counters[0].tokens >= told);
-        told = counters[0].tokens;
+        CHECK(counters[0].tokens >= reported);
+        reported = counters[0].tokens;
     };
     serve(100);
     serve(0);
     serve(20);
-    CHECK(told == 200);
+    CHECK(reported == 200);
     queue.configure({}, now);
     queue.configure({ teamOf("a", 1) }, now);
     serve(400);
-    CHECK(told == 600);
+    CHECK(reported == 600);
 }
