--- a/include/catkinwing/Ingress/EndpointTable.h
+++ b/include/catkinwing/Ingress/EndpointTable.h
@@ -20,174 +20,188 @@
 
 namespace catkinwing {
 
-/// Why attempts under way at an endpoint are given up.
+/// Why the attempts in flight at an endpoint are aborted.
 enum class GiveUpReason {
-    /// A later start has taken its place: nothing will come any more.
+    /// A later start has replaced the endpoint, so no response can arrive any more.
     StartedAgain,
-    /// It has sent nothing for long, and most entries that use it say so; it may
-    /// be alive, so that only what may be repeated leaves.
+    /// The endpoint has sent nothing for too long, and most entries that use it report
+    /// the same. It may still be running, so only attempts that may be retried are
+    /// aborted.
     Silent,
 };
 
-/// One start of one endpoint as this entry knows it. Shared with the requests
-/// that are at it, which may outlive its registration.
+/// State that this entry keeps about one start of an endpoint. Shared with the requests
+/// in flight there, which may outlive the registration.
 struct RoutedEndpoint {
     EndpointRecord record;
-    /// Names it in load reports.
+    /// Identifies the endpoint in load reports.
     std::uint32_t hash { 0 };
     std::string region;
-    /// It has asked this entry for no requests until then.
+    /// The endpoint has asked this entry to send no requests until this time.
     TimePoint pausedUntil {};
-    /// Never reverts; a new start under the same name is another RoutedEndpoint.
+    /// Never reset to false; a new start under the same name is another RoutedEndpoint.
     bool isLeaving { false };
-    /// What is registered under its name can't be read, so it is not used
-    /// until it can be again.
+    /// The registration under the endpoint's name can't be parsed. The endpoint isn't
+    /// used until a valid registration arrives.
     bool isUnreadable { false };
-    /// Its registration has vanished in an outage of the store.
+    /// The registration disappeared during an outage of the store.
     bool isMissing { false };
     TimePoint coldUntil {};
-    /// Passed over until then after a failure.
+    /// End of the time for which the endpoint is suspect after a failure.
     TimePoint suspectUntil {};
-    /// Share of failures among the last attempts, as of failureShareAt.
+    /// Decaying share of failures among recent attempts, as of failureShareAt.
     double failureShare { 0 };
     TimePoint failureShareAt {};
     TimePoint nextSuspectLog {};
-    /// Since when it has requests of this entry and has sent nothing.
+    /// Start of the current interval in which requests of this entry are in flight and
+    /// the endpoint has sent nothing.
     TimePoint quietSince {};
-    /// Requests of this entry that it has not answered.
+    /// Number of requests of this entry that have not ended.
     unsigned inFlight { 0 };
-    /// Tokens of their prompts that it has probably not read yet.
+    /// Estimated prompt tokens of these requests that still need prefill.
     std::int64_t unreadTokens { 0 };
-    /// What this entry has learnt from all endpoints of its service in the region;
-    /// shared with them.
+    /// Response times of all endpoints of the service, as measured by this entry; shared
+    /// by these endpoints.
     std::shared_ptr<AnswerTimes> serviceTimes { std::make_shared<AnswerTimes>() };
-    /// How soon it has answered this entry itself.
+    /// Response times of this endpoint, as measured by this entry.
     AnswerTimes answerTimes;
-    /// This entry's part of what it bears while cold.
+    /// This entry's share of the request rate that the endpoint sustains while cold.
     std::optional<TokenBucket> coldRate;
-    /// Gives up each attempt of this entry that is under way there, by its number.
+    /// Functions that abort this entry's attempts in flight at the endpoint, by the
+    /// number of the attempt.
     absl::flat_hash_map<std::uint64_t, std::function<void(GiveUpReason reason)>> giveUps;
 };
 
-/// What a request asks of its endpoint.
+/// Criteria of a request for the choice of its endpoint.
 struct EndpointRequest {
     const ServiceSettings* service { nullptr };
     std::string sharedPart;
     std::int64_t sharedTokens { 0 };
-    /// Events that its answer is likely to have.
+    /// Expected number of events in the response.
     double events { 0 };
-    /// Incarnations that have had the request.
+    /// Incarnations at which the request has been attempted.
     const std::vector<std::string>* tried { nullptr };
-    /// Also takes one of those, if no other is there.
+    /// Allows an endpoint that is listed in tried, as a suspect candidate.
     bool mayBeTried { false };
-    /// Leaves out endpoints at which it would wait for longer; all count if null.
+    /// Limit of the wait, above which an endpoint counts as too busy; null for no limit.
     const WaitDemand* demand { nullptr };
 };
 
-/// The endpoints of all regions, by their incarnations, and what this entry
-/// has learnt about those of its own region.
+/// The endpoints of all regions by incarnation, and the load, failures and response times
+/// that this entry has recorded for those of its own region.
 class EndpointTable {
 public:
     /// \p regionOfZone maps each availability zone to its region.
     EndpointTable(std::string region, std::map<std::string, std::string> regionOfZone);
 
-    /// Takes a registration as the store has it. A later start under a known
-    /// name replaces the one before, of which nothing is kept; an earlier one is
-    /// ignored.
+    /// Adds or updates the endpoint of a registration in the store. A later start under a
+    /// known name replaces the previous one and inherits none of its state; an earlier
+    /// start is ignored.
     void put(EndpointRecord record, TimePoint now);
-    /// What is registered under the name can't be read. It names no endpoint to
-    /// use; one that was known stays unused until a readable registration.
+    /// Records that the registration under the name can't be parsed. A known endpoint isn't
+    /// used until a valid registration arrives; an unknown one isn't added.
     void noteUnreadable(const std::string& incarnation);
-    /// The registration is gone and the store was calm: nothing more is sent there.
+    /// Removes an endpoint whose registration was deleted while the store was healthy.
     void remove(const std::string& incarnation, TimePoint now);
-    /// The registration has vanished while the store was in trouble; removed by
-    /// removeMissing() unless it comes back.
+    /// Records that the registration disappeared during an outage of the store.
+    /// removeMissing() removes the endpoint unless put() is called for it before.
     void noteMissing(const std::string& incarnation);
-    /// Removes all that is missing: it would be back by now.
+    /// Removes all missing endpoints. Called when endpoints that are still running have
+    /// had the time to register again.
     void removeMissing(TimePoint now);
-    /// Sets the zones to which nothing is sent. Those of a zone that comes back are cold.
+    /// Sets the evacuated zones, whose endpoints get no requests. The endpoints of a zone
+    /// that is no longer evacuated are cold for the warm-up time of their service.
     void setEvacuated(std::set<std::string> zones, const RouteTable* routes, TimePoint now);
-    /// Sets who shares the endpoints of the region, this entry included under
-    /// the name \p self.
+    /// Sets the entries that share the endpoints of the region. \p self is the name of this
+    /// entry among them.
     void setEntriesOfRegion(std::vector<std::string> entries, std::string self);
-    /// Sets how far all entries together may go beyond a cold endpoint's rate.
+    /// Sets how far all entries together may exceed a cold endpoint's request rate: the
+    /// factor \p ratio plus \p slack requests.
     void setColdTolerance(double ratio, double slack);
 
-    /// Chooses an endpoint of this region and counts the request against its
-    /// rate while it is cold; null if none may get it.
+    /// Chooses an endpoint of this region for a request. Charges the request to the rate
+    /// limit of the endpoint if that is cold. Returns null if no endpoint is eligible.
     std::shared_ptr<RoutedEndpoint> choose(const EndpointRequest& request, TimePoint now, Random& random);
     void noteBegan(RoutedEndpoint& endpoint, TimePoint now) const;
-    /// Gives up what may be repeated at endpoints of this region that are silent.
+    /// Calls the abort functions of all attempts at unresponsive endpoints, with the reason
+    /// GiveUpReason::Silent.
     void leaveSilent(TimePoint now);
-    /// This entry stood still: the silence since was its own.
+    /// Restarts the silence intervals of all endpoints after a pause of this process, during
+    /// which it could receive nothing.
     void forgiveSilence(TimePoint now);
-    /// Returns the work before an endpoint, as far as the entries of the region know.
+    /// Returns the pending work of an endpoint: that of this entry plus the work that the
+    /// other entries report.
     EndpointWork workOf(const RoutedEndpoint& endpoint) const;
-    /// Returns how long a request that came now would wait there.
+    /// Returns the predicted wait of a request that is sent to the endpoint now.
     static Duration waitAt(const RoutedEndpoint& endpoint, const AnswerEstimate& estimate, const EndpointWork& work, const ServiceSettings& service);
-    /// Returns how soon the endpoint answers, beginning with what is known of its service.
+    /// Returns the response estimate of the endpoint. The estimate of its service is used
+    /// as the prior.
     static AnswerEstimate answersOf(const RoutedEndpoint& endpoint, TimePoint now);
-    /// The first byte of an answer has come; as learnFirstByte().
+    /// Records the time to the first byte of a response, for the endpoint and its service.
     static void noteFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now);
-    /// A request has left its slot after \p held.
+    /// Records for how long a request occupied a slot.
     static void noteHeld(RoutedEndpoint& endpoint, Duration held, TimePoint now);
-    /// A stream has gone on by \p events after \p pause.
+    /// Records that a stream received \p events events after \p pause.
     static void noteEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now);
-    /// Bytes have come from the endpoint.
+    /// Records that bytes were received from the endpoint.
     void noteHeard(RoutedEndpoint& endpoint, TimePoint now) const { endpoint.quietSince = now; }
-    /// Returns how many tokens of a prompt the endpoint will have to read, and
-    /// notes that it will have read the shared part.
+    /// Returns how many tokens of a prompt need prefill at the endpoint, and records that
+    /// the endpoint caches the shared segment from now on.
     std::int64_t tokensToRead(const RoutedEndpoint& endpoint, std::int64_t promptTokens, std::int64_t sharedTokens, absl::string_view sharedPart, TimePoint now);
-    /// Notes that a request with the shared part went to \p region.
+    /// Records that a request with the shared segment was sent to \p region.
     void noteSentToRegion(const std::string& region, absl::string_view sharedPart, TimePoint now);
-    /// The endpoint has not run the request, and so has not read its shared part.
+    /// Records that the endpoint has not executed a request and therefore doesn't cache its
+    /// shared segment.
     void noteNotRead(const RoutedEndpoint& endpoint, absl::string_view sharedPart);
-    /// Returns how long a request would wait for the least busy endpoint of this
-    /// region that keeps its shared part; nothing if none does.
+    /// Returns the shortest predicted wait among the endpoints of this region that cache
+    /// the shared segment; nothing if none does.
     std::optional<Duration> waitForHolder(const ServiceSettings& service, absl::string_view sharedPart, TimePoint now) const;
-    /// Takes what another entry of the region has sent.
+    /// Records the shared segments that another entry of the region reports as sent.
     void takePartsSent(const std::vector<PartSent>& parts, TimePoint now);
-    /// Returns what this entry has sent since the last call, for the others.
+    /// Returns and clears the shared segments that this entry has sent since the last call,
+    /// for its load report.
     std::vector<PartSent> partsSent() { return std::exchange(m_partsSent, {}); }
-    /// Notes the end of an attempt; \p isFailure if the endpoint, not the request, was at fault.
+    /// Records the end of an attempt. \p isFailure is true if the endpoint, not the request,
+    /// was at fault.
     void noteEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now);
-    /// The endpoint has said itself that it is leaving, or has gone. Holds for this
-    /// start also where its registration says otherwise or comes anew.
+    /// Records that the endpoint has announced that it is leaving, or has terminated. Applies
+    /// to this start even if its registration states otherwise or is written again.
     void noteLeaving(RoutedEndpoint& endpoint, TimePoint now);
-    /// The endpoint has refused a request and wants none for \p pause.
+    /// Records that the endpoint refused a request and asked for a pause of \p pause.
     static void notePause(RoutedEndpoint& endpoint, std::chrono::milliseconds pause, TimePoint now);
-    /// Returns how long until an endpoint of this region, all of which have asked
-    /// for a pause, may get requests; zero if one may now, or none is there.
+    /// Returns the time until the first usable endpoint of this region ends its pause; zero
+    /// if one isn't paused, or if there is no usable endpoint.
     Duration pauseOf(absl::string_view service, TimePoint now) const;
 
-    /// What this entry has under way at its region's endpoints, for the others.
+    /// Returns this entry's workload at each endpoint that it uses or suspects, for its load
+    /// report.
     std::vector<EndpointWorkload> ownLoads(TimePoint now) const;
     PeerLoads& peerLoads() { return m_peerLoads; }
 
-    /// Returns what a request of \p service would meet at the endpoints of this
-    /// region. Cold endpoints count only where all are.
+    /// Returns the predicted wait and speeds of the endpoints of this region for
+    /// \p service. Cold and suspect endpoints are left out.
     ServiceOutlook outlook(const ServiceSettings& service, TimePoint now) const;
-    /// Returns how long the endpoints of the region together are busy with a
-    /// request of \p promptTokens, times the entries that share them: at that
-    /// interval this entry can send them such requests.
+    /// Returns the interval at which this entry can send requests of \p promptTokens to the
+    /// endpoints of the region: the time that all endpoints together need for one such
+    /// request, times the number of entries that share them.
     Duration workPerRequest(absl::string_view service, std::int64_t promptTokens, TimePoint now) const;
-    /// Returns how many endpoints of each region could serve \p service.
+    /// Returns for each region how many endpoints accept requests for \p service.
     std::map<std::string, std::size_t> usableByRegion(absl::string_view service, TimePoint now) const;
-    /// Returns the region where \p sharedPart was used last, or else that of the
-    /// endpoint that owns it, among those of \p regions, or of all if empty;
-    /// nothing if none is usable.
+    /// Returns the region where \p sharedPart was used last or, if it isn't eligible, the
+    /// region of the endpoint that owns the segment. Considers the usable endpoints in
+    /// \p regions, or in all regions if that is empty; returns nothing if there are none.
     std::optional<std::string> regionOfPart(absl::string_view service, absl::string_view sharedPart, const std::vector<std::string>& regions, TimePoint now) const;
     std::size_t size() const { return m_endpoints.size(); }
     /// Calls \p visit with each endpoint of every region.
     void forEach(const std::function<void(RoutedEndpoint&)>& visit) const;
-    /// Calls \p observer with each start that a later one has replaced, before
-    /// the attempts under way there are given up.
+    /// Sets a function that is called with each start that a later one has replaced, before
+    /// the attempts in flight there are aborted.
     void onReplaced(std::function<void(RoutedEndpoint&)> observer) { m_onReplaced = std::move(observer); }
 
 private:
     using Endpoints = std::vector<std::shared_ptr<RoutedEndpoint>>;
 
-    /// Hash under which load reports name a region.
+    /// Returns the hash that identifies a region in load reports.
     static std::uint32_t placeHash(absl::string_view region);
     void reportPart(const PartSent& sent);
     static double failureShareOf(const RoutedEndpoint& endpoint, TimePoint now);
@@ -196,7 +210,7 @@
     EndpointCandidate candidateOf(const RoutedEndpoint& endpoint, const EndpointRequest& request, TimePoint now) const;
     static EndpointDemand demandOf(const EndpointRequest& request);
     bool isUsable(const RoutedEndpoint& endpoint) const;
-    /// As isUsable(), but for those that have asked for a pause.
+    /// Returns whether the endpoint is usable and not paused.
     bool isOpen(const RoutedEndpoint& endpoint, TimePoint now) const { return isUsable(endpoint) && now >= endpoint.pausedUntil; }
     static std::string startName(const EndpointRecord& record);
     bool hasSaidLeaving(const EndpointRecord& record, TimePoint now) const;
@@ -209,11 +223,11 @@
 
     std::string m_region;
     std::map<std::string, std::string> m_regionOfZone;
-    /// Regions by the hash under which load reports name them.
+    /// Regions by the hash that identifies them in load reports.
     absl::flat_hash_map<std::uint32_t, std::string> m_regionOfPlace;
     absl::flat_hash_map<std::string, std::shared_ptr<RoutedEndpoint>> m_endpoints;
     absl::flat_hash_map<std::string, Endpoints> m_ofService;
-    /// What is common to the endpoints of each service in this region.
+    /// Response times of each service, shared by its endpoints.
     absl::flat_hash_map<std::string, std::shared_ptr<AnswerTimes>> m_serviceTimes;
     std::set<std::string> m_evacuated;
     std::vector<std::string> m_entriesOfRegion;
@@ -223,9 +237,9 @@
     PartRegions m_partRegions;
     std::vector<PartSent> m_partsSent;
     SharedRate m_coldTolerance { 0, 1.5, 3 };
-    /// Latest start of names whose endpoint was removed.
+    /// Start times of removed endpoints, by their names.
     absl::flat_hash_map<std::string, std::chrono::milliseconds> m_removedStarts;
-    /// Until when starts that have said that they leave are believed to, by their names.
+    /// Expiry times of the leave announcements, by the names of the starts.
     absl::flat_hash_map<std::string, TimePoint> m_leavingStarts;
     std::function<void(RoutedEndpoint&)> m_onReplaced;
 };
--- a/include/catkinwing/Ingress/EntryRegistration.h
+++ b/include/catkinwing/Ingress/EntryRegistration.h
@@ -12,17 +12,17 @@
 struct EntryRegistrationOptions {
     std::string key;
     std::string value;
-    /// The key vanishes this long after the last renewal.
+    /// The store deletes the key this long after the last renewal of the lease.
     std::chrono::milliseconds timeToLive { 4'000 };
     std::chrono::milliseconds renewEvery { 1'000 };
-    /// First pause after a failure; doubled up to the longest.
+    /// First delay after a failure. Each further failure doubles it, up to longestRetry.
     std::chrono::milliseconds retryEvery { 400 };
     std::chrono::milliseconds longestRetry { 1'600 };
 };
 
-/// Keeps one key in the store for as long as this process lives. Whether the
-/// key is still there is not asked, since that costs a call each time: whoever
-/// watches it tells by noteVanished().
+/// Keeps a key in the store under a lease while this process runs. The class doesn't poll
+/// whether the key still exists, since each check would cost a call to the store; the
+/// caller, which watches the key, reports its deletion by noteVanished().
 class EntryRegistration {
 public:
     /// \p store and \p scheduler must outlive the registration.
@@ -31,11 +31,11 @@
     EntryRegistration(const EntryRegistration&) = delete;
     EntryRegistration& operator=(const EntryRegistration&) = delete;
 
-    /// Registers, and again whenever the lease is lost, until stop().
+    /// Writes the key, and writes it again whenever the lease is lost, until stop().
     void start();
-    /// Takes the key back.
+    /// Revokes the lease, which deletes the key.
     void stop();
-    /// The key is gone although the lease may live on.
+    /// Registers again after the key was deleted, even if the lease is still valid.
     void noteVanished();
     bool isRegistered() const;
     const std::string& key() const;
--- a/include/catkinwing/Ingress/EntryTable.h
+++ b/include/catkinwing/Ingress/EntryTable.h
@@ -15,7 +15,7 @@
 
 namespace catkinwing {
 
-/// What an entry registers in the store about itself, under a lease.
+/// The registration of an entry, which it keeps in the store under a lease.
 struct EntryRecord {
     std::string region;
     std::string availabilityZone;
@@ -23,52 +23,58 @@
     SocketAddress peers;
 };
 
-/// Text of a registration; the lease's keeper may append to it behind a '#'.
+/// Returns the text of a registration. The owner of the lease may append to it behind a '#'.
 std::string writeEntryRecord(const EntryRecord& record);
 absl::StatusOr<EntryRecord> readEntryRecord(absl::string_view text);
 
-/// The entries that are registered, this one included.
+/// The registered entries, including this one.
 class EntryTable {
 public:
     explicit EntryTable(EntryRecord self);
 
     void put(const std::string& key, EntryRecord record);
     void remove(const std::string& key, TimePoint now);
-    /// The registration vanished while the store was in trouble.
+    /// Records that the registration disappeared during an outage of the store.
     void noteMissing(const std::string& key);
-    /// Removes all that is missing: it would be back by now.
+    /// Removes all missing entries. Called when entries that are still running have had the
+    /// time to register again.
     void removeMissing(TimePoint now);
 
-    /// Returns the addresses for clients of a zone: the entries of the zone, or
-    /// else of the region, or else of \p homes, the regions that may have the
-    /// clients' requests, or else those of these that left a moment ago, which
-    /// still finish what comes, or else all; none where the homes bind every
-    /// request, since an entry elsewhere could only refuse.
+    /// Returns the addresses of entries for the clients of a zone: the first group that
+    /// isn't empty of
+    /// - the entries of the zone,
+    /// - the entries of the region,
+    /// - the entries of \p homes, the regions that may serve the clients' requests,
+    /// - if there are homes: the entries of the region or the homes that were removed a
+    ///   moment ago, which still serve new requests while they stop,
+    /// - all entries, but for homes that bind every request, since an entry outside of
+    ///   them would refuse each request.
     std::vector<SocketAddress> entriesFor(const std::string& region, const std::string& availabilityZone, const HostHomes& homes, TimePoint now) const;
-    /// Returns an entry of \p region to forward to; nothing if there is none.
+    /// Returns a random entry of \p region to forward to, other than this one and those
+    /// that failed recently; nothing if there is none.
     std::optional<SocketAddress> choosePeer(const std::string& region, TimePoint now, Random& random) const;
-    /// Returns an entry of \p region whose registration vanished a while ago and
-    /// that hasn't failed to answer since: the store may have turned it away
-    /// while it serves on.
+    /// Returns an entry of \p region whose registration was removed recently and which hasn't
+    /// failed to answer since. Such an entry may still serve requests after the store has
+    /// dropped its registration.
     std::optional<SocketAddress> chooseDepartedPeer(const std::string& region, TimePoint now, Random& random) const;
     /// Returns the addresses of the other entries of \p region.
     std::vector<SocketAddress> peersOf(const std::string& region) const;
-    /// Returns the regions that have entries, but for this one's.
+    /// Returns the regions that have entries, except for this entry's region.
     std::vector<std::string> otherRegions() const;
-    /// Passes \p peer over for a while.
+    /// Records that \p peer did not answer; choosePeer() and relay() skip it for a while.
     void notePeerFailure(const SocketAddress& peer, TimePoint now);
     void notePeerAnswered(const SocketAddress& peer) { m_suspectUntil.erase(peer); }
 
     /// Returns the keys of the entries of \p region, one for each address.
     std::vector<std::string> keysOfRegion(const std::string& region) const;
-    /// An entry of a region and where it is reached.
+    /// An entry of a region and its address for peers.
     struct Peer {
         GroupedEntry entry;
         SocketAddress address;
     };
     /// Returns the entries of \p region, this one included, one for each address.
     std::vector<Peer> entriesOfRegion(const std::string& region) const;
-    /// Another entry and where it is.
+    /// Another entry, its region and its address for peers.
     struct Neighbor {
         std::string key;
         std::string region;
@@ -76,18 +82,19 @@
     };
     /// Returns the other entries of all regions, one for each address.
     std::vector<Neighbor> others() const;
-    /// Returns this entry's place among those of \p regions, or of all if empty, in an
-    /// order that differs from subject to subject.
+    /// Returns this entry's rank among the entries of \p regions, or of all regions if that
+    /// is empty, in an order that differs from subject to subject.
     EntryOrder orderFor(std::uint64_t subject, const std::vector<std::string>& regions) const;
-    /// Returns the entry of this one's zone that watches the store for the others;
-    /// nothing if that is this one, under the key \p self, or no other is there.
+    /// Returns the address of the entry that watches the store on behalf of the other entries
+    /// of this zone; nothing if it is this entry, whose key is \p self, or if there is no
+    /// candidate.
     std::optional<SocketAddress> relay(const std::string& self, TimePoint now) const;
     std::size_t size() const { return m_entries.size(); }
-    /// Returns the most addresses of entries that were registered at once in the last
-    /// minutes: in a cut, or while registrations lapse, some serve on that are no
-    /// longer listed.
+    /// Returns the maximum number of entry addresses that were registered at once in the last
+    /// ten minutes. During a network partition, or while registrations expire, some entries
+    /// still serve requests although they are no longer listed.
     std::size_t recentSize(TimePoint now);
-    /// Grows whenever an entry comes or goes.
+    /// Returns a counter that increases whenever an entry is registered or removed.
     std::uint64_t changes() const { return m_changes; }
 
 private:
@@ -104,7 +111,7 @@
 
     std::map<std::string, Entry> m_entries;
     RecentMaximum m_recentSize { std::chrono::minutes(10) };
-    /// How many addresses there were after so many changes.
+    /// Number of addresses as of m_countedChanges.
     std::size_t m_addresses { 0 };
     std::optional<std::uint64_t> m_countedChanges;
     std::uint64_t m_changes { 0 };
--- a/lib/Ingress/EndpointTable.cpp
+++ b/lib/Ingress/EndpointTable.cpp
@@ -11,32 +11,35 @@
 
 using std::chrono::milliseconds;
 
-/// An endpoint that failed is passed over for this long: a crash shows at once,
-/// and most single failures are over by then.
+/// Time for which an endpoint is suspect after a failure. A crash causes further failures
+/// at once, and most single failures are over by then.
 static constexpr milliseconds suspicion { 300 };
-/// A failure moves the share of failures this far towards one, an answer back
-/// towards zero; it also halves with time, so that the endpoint is tried again.
+/// Weights of the moving average of failures: a failure moves it towards one, a success
+/// towards zero. The average also halves every failureHalfTime, so that the endpoint gets
+/// requests again.
 static constexpr double failureWeight = 0.2;
 static constexpr double answerWeight = 0.1;
 static constexpr std::chrono::seconds failureHalfTime { 3 };
-/// Reached by two failures in quick succession, or where a third of the
-/// attempts fail.
+/// Share of failures above which an endpoint is suspect. Two failures in quick succession
+/// exceed it, and so does an endpoint at which a third of the attempts fail.
 static constexpr double worstFailureShare = 0.3;
-/// An endpoint with requests that sends nothing for this long is passed over
-/// until it does: a plain answer takes up to 0.3 s and a full queue 0.25 s more,
-/// and an engine that reads a long prompt still sends the events of others.
+/// An endpoint that has requests in flight and sends nothing for this long is suspect until
+/// it sends something. A response that isn't streamed takes up to 0.3 s and a full queue
+/// adds 0.25 s; an engine that processes a long prompt still sends events of its other
+/// requests.
 static constexpr milliseconds longestQuiet { 1'000 };
-/// A suspect endpoint is logged this often at most.
+/// Minimum interval of the log events about one suspect endpoint.
 static constexpr std::chrono::seconds suspectLogInterval { 2 };
-/// Names of removed endpoints whose start is remembered. An old registration is
-/// late by seconds, in which far fewer are removed.
+/// Maximum number of removed endpoints whose start time is kept. An outdated registration
+/// arrives at most seconds late, and far fewer endpoints are removed in that time.
 static constexpr std::size_t maxRemovedStarts = 4'096;
-/// Starts that are remembered as leaving beyond their registrations.
+/// Maximum number of starts that are recorded as leaving independently of their
+/// registrations.
 static constexpr std::size_t maxLeavingStarts = 4'096;
-/// An endpoint that said that it leaves is gone by then. A later one under its
-/// name that doesn't state its start is used again.
+/// An endpoint has terminated this long after it announced that it is leaving. After that,
+/// a registration under the same name that doesn't state a start time is used again.
 static constexpr std::chrono::minutes longestLeave { 2 };
-/// A pause ends after this, so that a wrong figure doesn't take an endpoint away for good.
+/// Maximum length of a pause, so that a wrong value doesn't exclude an endpoint for ever.
 static constexpr milliseconds longestPause = std::chrono::minutes(10);
 
 EndpointTable::EndpointTable(std::string region, std::map<std::string, std::string> regionOfZone)
@@ -47,7 +50,7 @@
         m_regionOfPlace[placeHash(name)] = name;
 }
 
-// Each attempt takes itself off the list.
+// Iterates over a copy because each attempt removes itself from the map.
 static void giveUpAll(const RoutedEndpoint& endpoint, GiveUpReason reason)
 {
     auto giveUps = endpoint.giveUps;
@@ -63,7 +66,7 @@
             { "in_flight", endpoint.inFlight } });
 }
 
-// Loads of two starts under one name must not be added up.
+// Includes the start time, so that the loads of two starts under one name are not added up.
 std::string EndpointTable::startName(const EndpointRecord& record)
 {
     return record.startedAt ? absl::StrCat(record.incarnation, "@", record.startedAt->count()) : record.incarnation;
@@ -74,8 +77,8 @@
     return record.startedAt && start && *record.startedAt < *start;
 }
 
-// The store's entries come in order, but one that a relay or a stale read brings
-// may be older than what is known.
+// The store delivers changes in order, but a registration from a relay or a stale read may
+// be older than the known one.
 bool EndpointTable::isOutdated(const EndpointRecord& record) const
 {
     auto removed = m_removedStarts.find(record.incarnation);
@@ -116,7 +119,7 @@
     entry->isLeaving = wasLeaving || record.isLeaving || hasSaidLeaving(record, now);
     entry->isUnreadable = false;
     entry->coldUntil = std::max(entry->coldUntil, now + record.coldFor);
-    // A registration that leaves the start out is taken for the one that is known.
+    // A registration without a start time is attributed to the known start.
     if (!record.startedAt)
         record.startedAt = entry->record.startedAt;
     entry->record = std::move(record);
@@ -137,7 +140,7 @@
     endpoint->serviceTimes = times;
 }
 
-// Requests that are given up may choose the new start, which is known by now.
+// Called after the new start is in the table, so that the aborted requests can choose it.
 void EndpointTable::endStart(RoutedEndpoint& endpoint)
 {
     if (m_onReplaced)
@@ -154,7 +157,7 @@
     logEndpoint("endpoint_unreadable", *found->second);
 }
 
-// Requests that are at the endpoint keep it until they end.
+// Requests in flight at the endpoint hold a reference to it until they end.
 void EndpointTable::forget(const std::string& incarnation)
 {
     auto found = m_endpoints.find(incarnation);
@@ -205,7 +208,7 @@
         const std::string& zone = endpoint->record.availabilityZone;
         bool comesBack = m_evacuated.count(zone) > 0 && zones.count(zone) == 0;
         const ServiceSettings* service = routes ? routes->findService(endpoint->record.service) : nullptr;
-        // It had no requests, and may have been restarted meanwhile.
+        // The endpoint had no requests, and may have been restarted in the meantime.
         if (comesBack && service)
             endpoint->coldUntil = std::max(endpoint->coldUntil, now + service->warmup);
     }
@@ -270,15 +273,16 @@
     ++endpoint.inFlight;
 }
 
-// A crashed, frozen or cut-off endpoint shows only by its silence.
+// A crashed, paused or partitioned endpoint is detected only by its silence.
 bool EndpointTable::isSuspectHere(const RoutedEndpoint& endpoint, TimePoint now)
 {
     bool isSilent = endpoint.inFlight > 0 && now - endpoint.quietSince > longestQuiet;
     return isSilent || now < endpoint.suspectUntil || failureShareOf(endpoint, now) > worstFailureShare;
 }
 
-// One entry alone may wait for a long prompt to be read, or have lost its own
-// path; if most that use an endpoint suspect it, it is the endpoint.
+// Silence that a single entry observes may come from a long prefill or from this entry's own
+// network path. If most of the entries that use an endpoint suspect it, the endpoint is at
+// fault.
 bool EndpointTable::isSuspect(const RoutedEndpoint& endpoint, TimePoint now) const
 {
     bool hasFailedHere = now < endpoint.suspectUntil || failureShareOf(endpoint, now) > worstFailureShare;
@@ -291,8 +295,8 @@
     return suspicions > 0 && suspicions * 2 > users;
 }
 
-// An engine that reads much before the first event of any of its requests is
-// silent for as long as that takes.
+// An engine that processes long prompts before it sends an event of any request is silent for
+// the duration of the prefill, so the predicted wait is added to the limit.
 void EndpointTable::leaveSilent(TimePoint now)
 {
     std::vector<std::shared_ptr<RoutedEndpoint>> silent;
--- a/lib/Ingress/EndpointTableChoice.cpp
+++ b/lib/Ingress/EndpointTableChoice.cpp
@@ -1,4 +1,4 @@
-// What a request would meet at each endpoint, and the choice of one.
+// Prediction of the wait at each endpoint, and the choice of an endpoint.
 #include "catkinwing/Ingress/EndpointTable.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/// No request is taken for less work than this.
+/// Lower bound of the estimated work of a request.
 static constexpr double leastWorkSeconds = 0.001;
 
 EndpointWork EndpointTable::workOf(const RoutedEndpoint& endpoint) const
@@ -49,8 +49,8 @@
     return predictWait(estimate, work, slots);
 }
 
-// A request beside which another runs is slowed as by half a thousand tokens
-// that were read before it.
+// Number of concurrent requests that slow a request down as much as the prefill of a thousand
+// tokens before it.
 static constexpr double requestsPerKilotoken = 2;
 
 EndpointCandidate EndpointTable::candidateOf(const RoutedEndpoint& endpoint, const EndpointRequest& request, TimePoint now) const
@@ -67,7 +67,7 @@
     return candidate;
 }
 
-// The connections that an endpoint takes are divided among the entries of the region.
+// Divides the connections that an endpoint accepts among the entries of the region.
 bool EndpointTable::hasRoom(const RoutedEndpoint& endpoint, const ServiceSettings& service) const
 {
     if (service.maxConnections == 0)
@@ -137,7 +137,8 @@
     return nullptr;
 }
 
-// Requests go to one of those that are less busy, so that half counts.
+// Averages the waits over the less busy half of the endpoints, since requests are sent to
+// endpoints of that half.
 ServiceOutlook EndpointTable::outlook(const ServiceSettings& service, TimePoint now) const
 {
     ServiceOutlook outlook;
@@ -169,8 +170,8 @@
     return outlook;
 }
 
-// An endpoint is busy with a request for the time of reading its prompt, or for
-// its part of the time that a slot is held, whichever is longer.
+// The work of a request at an endpoint is the prefill time of its prompt or the time that it
+// occupies a slot divided by the number of slots, whichever is longer.
 Duration EndpointTable::workPerRequest(absl::string_view service, std::int64_t promptTokens, TimePoint now) const
 {
     auto found = m_ofService.find(service);
--- a/lib/Ingress/EndpointTableParts.cpp
+++ b/lib/Ingress/EndpointTableParts.cpp
@@ -1,4 +1,4 @@
-// Where shared parts of prompts lie.
+// Tracks which endpoints and regions cache shared prompt segments.
 #include "catkinwing/Ingress/EndpointTable.h"
 
 #include <algorithm>
@@ -6,7 +6,7 @@
 
 namespace catkinwing {
 
-/// Parts sent that one load report tells, so that it fits a datagram.
+/// Maximum number of sent segments in a load report, so that the report fits a datagram.
 static constexpr std::size_t maxPartsReported = 64;
 
 std::uint32_t EndpointTable::placeHash(absl::string_view region)
--- a/lib/Ingress/EntryRegistration.cpp
+++ b/lib/Ingress/EntryRegistration.cpp
@@ -13,7 +13,7 @@
     {
     }
 
-    // Callbacks of an attempt that is over do nothing.
+    // Wraps a callback so that it does nothing after its registration attempt has ended.
     template <typename Function>
     auto guarded(Function function)
     {
@@ -59,16 +59,16 @@
 void EntryRegistration::Impl::onGranted(const absl::StatusOr<StoreLease>& granted)
 {
     if (!granted.ok()) {
-        beginAgain("no lease");
+        beginAgain("lease not granted");
         return;
     }
     lease = *granted;
     store.compareAndSwap(options.key, 0, options.value, lease, guarded([](Impl& self, SwapResult result) { self.onWritten(result); }));
 }
 
-// A write whose answer was lost may have been done, or be done later. If it
-// isn't there by now, beginning again ends the lease, and a write under a lease
-// that has ended is refused whenever it comes.
+// A write whose response was lost may have been applied, or may be applied later. If the key
+// isn't found, the registration starts over and revokes the lease. The store refuses a late
+// write under a revoked lease.
 void EntryRegistration::Impl::onWritten(SwapResult result)
 {
     switch (result.outcome) {
@@ -109,9 +109,9 @@
 void EntryRegistration::Impl::onRenewed(const absl::StatusOr<std::chrono::milliseconds>& left)
 {
     if (absl::IsNotFound(left.status())) {
-        // The store is there, so there is no reason to wait for it.
+        // The store responded, so the registration needs no longer delay.
         retryDelay = options.retryEvery;
-        beginAgain("lease lapsed");
+        beginAgain("lease expired");
         return;
     }
     if (left.ok())
@@ -160,7 +160,7 @@
 void EntryRegistration::noteVanished()
 {
     if (m_impl->isRegistered)
-        m_impl->beginAgain("key vanished");
+        m_impl->beginAgain("key deleted");
 }
 
 bool EntryRegistration::isRegistered() const
--- a/lib/Ingress/EntryTable.cpp
+++ b/lib/Ingress/EntryTable.cpp
@@ -9,12 +9,13 @@
 
 namespace catkinwing {
 
-/// An entry that stops as planned still takes what comes for this long.
+/// Time for which an entry that is shutting down still accepts requests after its
+/// registration was removed.
 static constexpr std::chrono::milliseconds stopTime { 2'500 };
-/// An entry that the store turned away is forwarded to for this long, where no
-/// other is left; longer than such troubles usually last.
+/// Time for which requests are still forwarded to an entry whose registration was removed, if
+/// no other entry is left. Longer than outages of the store usually last.
 static constexpr std::chrono::milliseconds departedKept { 15'000 };
-/// How long an entry that didn't answer a forward is passed over.
+/// Time for which an entry that did not answer a forwarded request is skipped.
 static constexpr std::chrono::milliseconds peerSuspicion { 1'000 };
 
 std::string writeEntryRecord(const EntryRecord& record)
@@ -33,7 +34,7 @@
     std::size_t end = text.rfind('}');
     auto json = nlohmann::json::parse(text.substr(0, end == absl::string_view::npos ? 0 : end + 1), nullptr, false);
     if (!json.is_object())
-        return absl::InvalidArgumentError("registration of an entry is not a JSON object");
+        return absl::InvalidArgumentError("entry registration is not a JSON object");
     auto member = [&](const char* name) { return json.contains(name) && json[name].is_string() ? json[name].get<std::string>() : std::string(); };
     absl::StatusOr<SocketAddress> clients = parseSocketAddress(member("clients"));
     absl::StatusOr<SocketAddress> peers = parseSocketAddress(member("peers"));
@@ -58,7 +59,7 @@
     ++m_changes;
 }
 
-// An entry that has started again has two registrations for a while.
+// Counts addresses because a restarted entry has two registrations until its old lease expires.
 std::size_t EntryTable::recentSize(TimePoint now)
 {
     if (m_countedChanges != m_changes) {
@@ -211,8 +212,8 @@
     logChange(LogLevel::Warning, "entry_suspect", { { "entry", peer.toString() } });
 }
 
-// An entry that started again stands under its old key as well until the old
-// lease lapses; keys sort by name, and either will do.
+// A restarted entry is also registered under its old key until the old lease expires. The last
+// key in the order of names is returned for such an entry; both keys are suitable.
 std::vector<EntryTable::Peer> EntryTable::entriesOfRegion(const std::string& region) const
 {
     std::map<SocketAddress, Peer> byAddress;
