--- a/unittests/Ingress/EndpointTableTest.cpp
+++ b/unittests/Ingress/EndpointTableTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A table with a service whose cold endpoints bear ten requests a second.
+/// A table with a service whose cold endpoints sustain ten requests per second.
 struct TableWorld {
     TableWorld()
     {
@@ -60,7 +60,7 @@
 
 } // namespace
 
-TEST_CASE("leaving never reverts, whatever the store says later")
+TEST_CASE("an endpoint that is leaving stays so, even if a later registration states otherwise")
 {
     TableWorld world;
     world.put("e1", true);
@@ -69,7 +69,7 @@
     CHECK_FALSE(world.choose());
 }
 
-TEST_CASE("a later start under a name is another endpoint, of which nothing is known")
+TEST_CASE("a later start under the same name is a new endpoint without recorded state")
 {
     TableWorld world;
     world.putStart("e1", 1'000ms);
@@ -93,7 +93,7 @@
     CHECK(before->isLeaving);
 }
 
-TEST_CASE("a registration of an earlier start neither hides nor revives, whether the later one is there or gone")
+TEST_CASE("a registration of an earlier start is ignored, both while the later start is registered and after its removal")
 {
     TableWorld world;
     world.putStart("e1", 2'000ms);
@@ -106,7 +106,7 @@
     CHECK(world.choose());
 }
 
-TEST_CASE("a registration that leaves its start out is one of the start that is known")
+TEST_CASE("a registration without a start time applies to the known start")
 {
     TableWorld world;
     world.putStart("e1", 2'000ms);
@@ -118,7 +118,7 @@
     CHECK(world.choose());
 }
 
-TEST_CASE("a registration that can't be read rests its endpoint, and no other, until one that can")
+TEST_CASE("a registration that can't be parsed excludes only its own endpoint until a valid one arrives")
 {
     TableWorld world;
     world.put("e1");
@@ -133,7 +133,7 @@
     CHECK(world.choose());
 }
 
-TEST_CASE("an endpoint that changes its service is no longer one of the old service")
+TEST_CASE("an endpoint that changes its service is no longer chosen for the old service")
 {
     TableWorld world;
     world.put("e1");
@@ -144,7 +144,7 @@
     CHECK_FALSE(world.choose());
 }
 
-TEST_CASE("an endpoint that is gone is never chosen, and one that is missing stays until it is removed")
+TEST_CASE("a missing endpoint is chosen until removeMissing() removes it")
 {
     TableWorld world;
     world.put("e1");
@@ -161,8 +161,8 @@
     CHECK(world.table.size() == 0);
 }
 
-// Every entry plays its own table over the same time.
-TEST_CASE("the entries of a region together keep to what a cold endpoint bears, and use most of it")
+// Each entry has a table of its own, and all tables run over the same time.
+TEST_CASE("the entries of a region together keep within the rate of a cold endpoint and use most of it")
 {
     for (std::size_t entries : { 1u, 2u, 3u, 8u, 40u }) {
         std::vector<std::string> names;
@@ -194,7 +194,7 @@
     }
 }
 
-TEST_CASE("an evacuated zone gets nothing and is cold when it comes back")
+TEST_CASE("endpoints of an evacuated zone get no requests and are cold after the evacuation")
 {
     TableWorld world;
     world.put("e1");
@@ -210,7 +210,7 @@
     CHECK(world.choose());
 }
 
-TEST_CASE("connections to an endpoint are divided among the entries")
+TEST_CASE("the maximum number of connections to an endpoint is divided among the entries")
 {
     TableWorld world;
     world.put("e1");
@@ -223,7 +223,7 @@
     CHECK_FALSE(world.choose());
 }
 
-TEST_CASE("an endpoint that failed once is passed over for a moment, one that fails often for seconds")
+TEST_CASE("an endpoint isn't chosen for a moment after one failure, and for seconds after frequent failures")
 {
     TableWorld world;
     world.put("e1");
@@ -252,7 +252,7 @@
     CHECK(isChosen());
 }
 
-TEST_CASE("where every endpoint fails they are all still used")
+TEST_CASE("a failing endpoint is still chosen if there is no other")
 {
     TableWorld world;
     world.put("e1");
@@ -264,7 +264,7 @@
     CHECK(world.choose() == failing);
 }
 
-TEST_CASE("an endpoint that has requests and sends nothing is passed over until it does")
+TEST_CASE("an endpoint with requests in flight that sends nothing is suspect until it sends something")
 {
     TableWorld world;
     world.put("e1");
@@ -283,7 +283,7 @@
     CHECK(world.table.ownLoads(world.now).empty());
 }
 
-TEST_CASE("an endpoint that most entries suspect is passed over")
+TEST_CASE("an endpoint that most of its users suspect isn't chosen")
 {
     TableWorld world;
     world.put("e1");
@@ -306,8 +306,8 @@
     CHECK(isBack);
 }
 
-// A hundred entries of a region: each part is sent by another entry each time.
-TEST_CASE("a shared part goes to the endpoint to which another entry has sent it")
+// In a region of a hundred entries, a shared segment is usually sent by another entry each time.
+TEST_CASE("a request goes to the endpoint to which another entry has sent its shared segment")
 {
     TableWorld world;
     for (int i = 0; i < 40; ++i)
@@ -332,7 +332,7 @@
     CHECK(world.table.choose(request, world.now, world.random) == owner);
 }
 
-TEST_CASE("a shared part stays in the region to which it was sent last")
+TEST_CASE("a shared segment is routed to the region to which it was sent last")
 {
     TableWorld world;
     world.put("here");
--- a/unittests/Ingress/EntryRegistrationTest.cpp
+++ b/unittests/Ingress/EntryRegistrationTest.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("a registration stays while its process lives and goes when it stops")
+TEST_CASE("the key exists while the registration runs and is deleted when it stops")
 {
     RegistrationWorld world;
     world.registration.start();
@@ -33,7 +33,7 @@
     CHECK_FALSE(world.isThere());
 }
 
-TEST_CASE("renewals are the only calls of a registration that stands")
+TEST_CASE("an established registration calls the store only to renew its lease")
 {
     RegistrationWorld world;
     world.registration.start();
@@ -43,7 +43,7 @@
     CHECK(world.store.calls(StoreCallGroup::Lease) <= 21);
 }
 
-TEST_CASE("a registration that lapsed in an outage is back soon after it")
+TEST_CASE("a registration that expired during an outage is written again soon after the outage")
 {
     RegistrationWorld world;
     world.registration.start();
@@ -55,7 +55,7 @@
     CHECK(world.isThere());
 }
 
-TEST_CASE("a key that vanished though its lease lives is written again when that is seen")
+TEST_CASE("a key that was deleted although its lease is valid is written again after noteVanished()")
 {
     RegistrationWorld world;
     world.registration.start();
@@ -66,7 +66,7 @@
     CHECK(world.isThere());
 }
 
-TEST_CASE("lost answers and late writes don't keep an entry out")
+TEST_CASE("an entry registers despite lost requests, lost responses and late writes")
 {
     for (StoreFault fault : { StoreFault::NotSent, StoreFault::LostRequest, StoreFault::LostAnswer, StoreFault::AppliedLate }) {
         for (StoreCallGroup group : { StoreCallGroup::Write, StoreCallGroup::Lease }) {
--- a/unittests/Ingress/EntryTableTest.cpp
+++ b/unittests/Ingress/EntryTableTest.cpp
@@ -25,7 +25,7 @@
     return table;
 }
 
-TEST_CASE("clients are sent to their zone, or their region, or a home, or anywhere")
+TEST_CASE("clients get entries of their zone, else of their region, else of a home region, else of all regions")
 {
     EntryTable table = smallTable();
     using Addresses = std::vector<SocketAddress>;
@@ -36,7 +36,7 @@
     CHECK(table.entriesFor("east", "east-a", {}, TimePoint { 10s }).size() == 4);
 }
 
-TEST_CASE("an entry that started again stands once in the directory")
+TEST_CASE("a restarted entry with two registrations is listed once")
 {
     EntryTable table = smallTable();
     table.put("n2-again", entry("north", "north-b", 2));
@@ -44,7 +44,7 @@
     CHECK(table.keysOfRegion("north").size() == 2);
 }
 
-TEST_CASE("a peer that didn't answer is passed over for a while, and the entry itself is never chosen")
+TEST_CASE("a peer that didn't answer isn't chosen for a while, and the entry never chooses itself")
 {
     EntryTable table = smallTable();
     Random random(1);
@@ -57,7 +57,7 @@
         CHECK(table.choosePeer("north", now, random) == at(1'002));
 }
 
-TEST_CASE("an entry that is missing in an outage stays until it is removed")
+TEST_CASE("a missing entry stays in the table until removeMissing()")
 {
     EntryTable table = smallTable();
     table.noteMissing("s1");
@@ -66,7 +66,7 @@
     CHECK(table.size() == 3);
 }
 
-TEST_CASE("a registration reads back as it was written")
+TEST_CASE("a written registration is parsed back unchanged, and invalid text is rejected")
 {
     EntryRecord record = entry("north", "north-a", 5);
     absl::StatusOr<EntryRecord> read = readEntryRecord(writeEntryRecord(record));
@@ -80,7 +80,7 @@
     CHECK_FALSE(readEntryRecord("[]").ok());
 }
 
-TEST_CASE("clients whose requests are bound to homes go to an entry that is stopping rather than elsewhere")
+TEST_CASE("clients with home regions get an entry that was removed a moment ago rather than one elsewhere")
 {
     EntryTable table = smallTable();
     TimePoint now { 10s };
@@ -93,7 +93,7 @@
     CHECK(table.entriesFor("north", "north-a", { { "south" } }, now + 1s) == Addresses { at(3) });
 }
 
-TEST_CASE("where homes bind every request no entry elsewhere is named, which could only refuse")
+TEST_CASE("if the home regions bind every request, no entry of another region is returned")
 {
     EntryTable table = smallTable();
     TimePoint now { 10s };
@@ -105,7 +105,7 @@
     CHECK(table.entriesFor("east", "east-a", homes, now + 4s).empty());
 }
 
-TEST_CASE("an entry that the store turned away is a peer for a while, until it doesn't answer")
+TEST_CASE("an entry whose registration was removed remains a departed peer for a while or until it doesn't answer")
 {
     EntryTable table = smallTable();
     Random random(1);
