--- a/include/catkinwing/Ingress/EndpointTable.h
+++ b/include/catkinwing/Ingress/EndpointTable.h
@@ -49,13 +49,13 @@
     TimePoint coldUntil {};
     /// End of the time for which the endpoint is suspect after a failure.
     TimePoint suspectUntil {};
-    /// Decaying share of failures among recent attempts, as of failureShareAt.
+    /// Decaying share of failures among recent attempts, as of failureShareUpdatedAt.
     double failureShare { 0 };
-    TimePoint failureShareAt {};
+    TimePoint failureShareUpdatedAt {};
     TimePoint nextSuspectLog {};
     /// Start of the current interval in which requests of this entry are in flight and
     /// the endpoint has sent nothing.
-    TimePoint quietSince {};
+    TimePoint silentSince {};
     /// Number of requests of this entry that have not ended.
     unsigned inFlight { 0 };
     /// Estimated prompt tokens of these requests that still need prefill.
@@ -66,7 +66,7 @@
     /// Response times of this endpoint, as measured by this entry.
     AnswerTimes answerTimes;
     /// This entry's share of the request rate that the endpoint sustains while cold.
-    std::optional<TokenBucket> coldRate;
+    std::optional<TokenBucket> coldRateLimit;
     /// Functions that abort this entry's attempts in flight at the endpoint, by the
     /// number of the attempt.
     absl::flat_hash_map<std::uint64_t, std::function<void(GiveUpReason reason)>> giveUps;
@@ -123,8 +123,8 @@
     /// limit of the endpoint if that is cold. Returns null if no endpoint is eligible.
     std::shared_ptr<RoutedEndpoint> choose(const EndpointRequest& request, TimePoint now, Random& random);
     void noteBegan(RoutedEndpoint& endpoint, TimePoint now) const;
-    /// Calls the abort functions of all attempts at unresponsive endpoints, with the reason
-    /// GiveUpReason::Silent.
+    /// Calls the abort callbacks of the attempts at unresponsive endpoints. Attempts that must
+    /// not be retried stay in flight.
     void leaveSilent(TimePoint now);
     /// Restarts the silence intervals of all endpoints after a pause of this process, during
     /// which it could receive nothing.
@@ -136,7 +136,7 @@
     static Duration waitAt(const RoutedEndpoint& endpoint, const AnswerEstimate& estimate, const EndpointWork& work, const ServiceSettings& service);
     /// Returns the response estimate of the endpoint. The estimate of its service is used
     /// as the prior.
-    static AnswerEstimate answersOf(const RoutedEndpoint& endpoint, TimePoint now);
+    static AnswerEstimate responseEstimateOf(const RoutedEndpoint& endpoint, TimePoint now);
     /// Records the time to the first byte of a response, for the endpoint and its service.
     static void noteFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now);
     /// Records for how long a request occupied a slot.
@@ -144,23 +144,23 @@
     /// Records that a stream received \p events events after \p pause.
     static void noteEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now);
     /// Records that bytes were received from the endpoint.
-    void noteHeard(RoutedEndpoint& endpoint, TimePoint now) const { endpoint.quietSince = now; }
+    void noteHeard(RoutedEndpoint& endpoint, TimePoint now) const { endpoint.silentSince = now; }
     /// Returns how many tokens of a prompt need prefill at the endpoint, and records that
     /// the endpoint caches the shared segment from now on.
-    std::int64_t tokensToRead(const RoutedEndpoint& endpoint, std::int64_t promptTokens, std::int64_t sharedTokens, absl::string_view sharedPart, TimePoint now);
+    std::int64_t tokensToRead(const RoutedEndpoint& endpoint, std::int64_t promptTokens, std::int64_t sharedTokens, absl::string_view sharedSegment, TimePoint now);
     /// Records that a request with the shared segment was sent to \p region.
-    void noteSentToRegion(const std::string& region, absl::string_view sharedPart, TimePoint now);
+    void noteSentToRegion(const std::string& region, absl::string_view sharedSegment, TimePoint now);
     /// Records that the endpoint has not executed a request and therefore doesn't cache its
     /// shared segment.
-    void noteNotRead(const RoutedEndpoint& endpoint, absl::string_view sharedPart);
+    void noteNotRead(const RoutedEndpoint& endpoint, absl::string_view sharedSegment);
     /// Returns the shortest predicted wait among the endpoints of this region that cache
     /// the shared segment; nothing if none does.
-    std::optional<Duration> waitForHolder(const ServiceSettings& service, absl::string_view sharedPart, TimePoint now) const;
+    std::optional<Duration> waitForHolder(const ServiceSettings& service, absl::string_view sharedSegment, TimePoint now) const;
     /// Records the shared segments that another entry of the region reports as sent.
-    void takePartsSent(const std::vector<PartSent>& parts, TimePoint now);
+    void takePartsSent(const std::vector<PartSent>& segments, TimePoint now);
     /// Returns and clears the shared segments that this entry has sent since the last call,
     /// for its load report.
-    std::vector<PartSent> partsSent() { return std::exchange(m_partsSent, {}); }
+    std::vector<PartSent> partsSent() { return std::exchange(m_segmentsSent, {}); }
     /// Records the end of an attempt. \p isFailure is true if the endpoint, not the request,
     /// was at fault.
     void noteEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now);
@@ -187,25 +187,25 @@
     Duration workPerRequest(absl::string_view service, std::int64_t promptTokens, TimePoint now) const;
     /// Returns for each region how many endpoints accept requests for \p service.
     std::map<std::string, std::size_t> usableByRegion(absl::string_view service, TimePoint now) const;
-    /// Returns the region where \p sharedPart was used last or, if it isn't eligible, the
+    /// Returns the region where \p sharedSegment was used last or, if it isn't eligible, the
     /// region of the endpoint that owns the segment. Considers the usable endpoints in
     /// \p regions, or in all regions if that is empty; returns nothing if there are none.
-    std::optional<std::string> regionOfPart(absl::string_view service, absl::string_view sharedPart, const std::vector<std::string>& regions, TimePoint now) const;
+    std::optional<std::string> regionOfPart(absl::string_view service, absl::string_view sharedSegment, const std::vector<std::string>& regions, TimePoint now) const;
     std::size_t size() const { return m_endpoints.size(); }
     /// Calls \p visit with each endpoint of every region.
     void forEach(const std::function<void(RoutedEndpoint&)>& visit) const;
     /// Sets a function that is called with each start that a later one has replaced, before
     /// the attempts in flight there are aborted.
-    void onReplaced(std::function<void(RoutedEndpoint&)> observer) { m_onReplaced = std::move(observer); }
+    void onReplaced(std::function<void(RoutedEndpoint&)> observer) { m_replacedObserver = std::move(observer); }
 
 private:
     using Endpoints = std::vector<std::shared_ptr<RoutedEndpoint>>;
 
     /// Returns the hash that identifies a region in load reports.
-    static std::uint32_t placeHash(absl::string_view region);
-    void reportPart(const PartSent& sent);
+    static std::uint32_t reportedRegionHash(absl::string_view region);
+    void addSentSegment(const PartSent& sent);
     static double failureShareOf(const RoutedEndpoint& endpoint, TimePoint now);
-    static bool isSuspectHere(const RoutedEndpoint& endpoint, TimePoint now);
+    static bool isLocallySuspect(const RoutedEndpoint& endpoint, TimePoint now);
     bool isSuspect(const RoutedEndpoint& endpoint, TimePoint now) const;
     EndpointCandidate candidateOf(const RoutedEndpoint& endpoint, const EndpointRequest& request, TimePoint now) const;
     static EndpointDemand demandOf(const EndpointRequest& request);
@@ -213,35 +213,35 @@
     /// Returns whether the endpoint is usable and not paused.
     bool isOpen(const RoutedEndpoint& endpoint, TimePoint now) const { return isUsable(endpoint) && now >= endpoint.pausedUntil; }
     static std::string startName(const EndpointRecord& record);
-    bool hasSaidLeaving(const EndpointRecord& record, TimePoint now) const;
+    bool hasAnnouncedLeaving(const EndpointRecord& record, TimePoint now) const;
     bool isOutdated(const EndpointRecord& record) const;
-    void endStart(RoutedEndpoint& endpoint);
-    void enlist(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service);
-    void forget(const std::string& incarnation);
-    bool hasRoom(const RoutedEndpoint& endpoint, const ServiceSettings& service) const;
-    bool tryTakeCold(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const;
+    void abortReplacedStart(RoutedEndpoint& endpoint);
+    void addToService(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service);
+    void detach(const std::string& incarnation);
+    bool hasFreeConnection(const RoutedEndpoint& endpoint, const ServiceSettings& service) const;
+    bool tryTakeColdRequest(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const;
 
     std::string m_region;
     std::map<std::string, std::string> m_regionOfZone;
     /// Regions by the hash that identifies them in load reports.
-    absl::flat_hash_map<std::uint32_t, std::string> m_regionOfPlace;
+    absl::flat_hash_map<std::uint32_t, std::string> m_regionByHash;
     absl::flat_hash_map<std::string, std::shared_ptr<RoutedEndpoint>> m_endpoints;
-    absl::flat_hash_map<std::string, Endpoints> m_ofService;
+    absl::flat_hash_map<std::string, Endpoints> m_endpointsByService;
     /// Response times of each service, shared by its endpoints.
     absl::flat_hash_map<std::string, std::shared_ptr<AnswerTimes>> m_serviceTimes;
     std::set<std::string> m_evacuated;
     std::vector<std::string> m_entriesOfRegion;
     std::string m_self;
     PeerLoads m_peerLoads;
-    PartHolders m_partHolders;
-    PartRegions m_partRegions;
-    std::vector<PartSent> m_partsSent;
+    PartHolders m_segmentHolders;
+    PartRegions m_segmentRegions;
+    std::vector<PartSent> m_segmentsSent;
     SharedRate m_coldTolerance { 0, 1.5, 3 };
     /// Start times of removed endpoints, by their names.
     absl::flat_hash_map<std::string, std::chrono::milliseconds> m_removedStarts;
     /// Expiry times of the leave announcements, by the names of the starts.
-    absl::flat_hash_map<std::string, TimePoint> m_leavingStarts;
-    std::function<void(RoutedEndpoint&)> m_onReplaced;
+    absl::flat_hash_map<std::string, TimePoint> m_leavingStartExpiry;
+    std::function<void(RoutedEndpoint&)> m_replacedObserver;
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Ingress/EntryRegistration.h
+++ b/include/catkinwing/Ingress/EntryRegistration.h
@@ -15,9 +15,9 @@
     /// The store deletes the key this long after the last renewal of the lease.
     std::chrono::milliseconds timeToLive { 4'000 };
     std::chrono::milliseconds renewEvery { 1'000 };
-    /// First delay after a failure. Each further failure doubles it, up to longestRetry.
-    std::chrono::milliseconds retryEvery { 400 };
-    std::chrono::milliseconds longestRetry { 1'600 };
+    /// First delay after a failure. Each further failure doubles it, up to maxRetryDelay.
+    std::chrono::milliseconds firstRetryDelay { 400 };
+    std::chrono::milliseconds maxRetryDelay { 1'600 };
 };
 
 /// Keeps a key in the store under a lease while this process runs. The class doesn't poll
--- a/lib/Ingress/EndpointTable.cpp
+++ b/lib/Ingress/EndpointTable.cpp
@@ -13,21 +13,21 @@
 
 /// Time for which an endpoint is suspect after a failure. A crash causes further failures
 /// at once, and most single failures are over by then.
-static constexpr milliseconds suspicion { 300 };
+static constexpr milliseconds suspectTime { 300 };
 /// Weights of the moving average of failures: a failure moves it towards one, a success
-/// towards zero. The average also halves every failureHalfTime, so that the endpoint gets
+/// towards zero. The average also halves every failureHalfLife, so that the endpoint gets
 /// requests again.
 static constexpr double failureWeight = 0.2;
-static constexpr double answerWeight = 0.1;
-static constexpr std::chrono::seconds failureHalfTime { 3 };
+static constexpr double successWeight = 0.1;
+static constexpr std::chrono::seconds failureHalfLife { 3 };
 /// Share of failures above which an endpoint is suspect. Two failures in quick succession
 /// exceed it, and so does an endpoint at which a third of the attempts fail.
-static constexpr double worstFailureShare = 0.3;
+static constexpr double maxFailureShare = 0.3;
 /// An endpoint that has requests in flight and sends nothing for this long is suspect until
 /// it sends something. A response that isn't streamed takes up to 0.3 s and a full queue
 /// adds 0.25 s; an engine that processes a long prompt still sends events of its other
 /// requests.
-static constexpr milliseconds longestQuiet { 1'000 };
+static constexpr milliseconds maxSilence { 1'000 };
 /// Minimum interval of the log events about one suspect endpoint.
 static constexpr std::chrono::seconds suspectLogInterval { 2 };
 /// Maximum number of removed endpoints whose start time is kept. An outdated registration
@@ -38,24 +38,24 @@
 static constexpr std::size_t maxLeavingStarts = 4'096;
 /// An endpoint has terminated this long after it announced that it is leaving. After that,
 /// a registration under the same name that doesn't state a start time is used again.
-static constexpr std::chrono::minutes longestLeave { 2 };
+static constexpr std::chrono::minutes maxLeaveTime { 2 };
 /// Maximum length of a pause, so that a wrong value doesn't exclude an endpoint for ever.
-static constexpr milliseconds longestPause = std::chrono::minutes(10);
+static constexpr milliseconds maxPause = std::chrono::minutes(10);
 
 EndpointTable::EndpointTable(std::string region, std::map<std::string, std::string> regionOfZone)
     : m_region(std::move(region))
     , m_regionOfZone(std::move(regionOfZone))
 {
     for (const auto& [zone, name] : m_regionOfZone)
-        m_regionOfPlace[placeHash(name)] = name;
+        m_regionByHash[reportedRegionHash(name)] = name;
 }
 
 // Iterates over a copy because each attempt removes itself from the map.
-static void giveUpAll(const RoutedEndpoint& endpoint, GiveUpReason reason)
+static void abortAttempts(const RoutedEndpoint& endpoint, GiveUpReason reason)
 {
-    auto giveUps = endpoint.giveUps;
-    for (const auto& [attempt, giveUp] : giveUps)
-        giveUp(reason);
+    auto callbacks = endpoint.giveUps;
+    for (const auto& [attempt, abortAttempt] : callbacks)
+        abortAttempt(reason);
 }
 
 static void logEndpoint(const char* event, const RoutedEndpoint& endpoint)
@@ -97,7 +97,7 @@
     if (known != m_endpoints.end() && isBefore(known->second->record, record.startedAt)) {
         replaced = known->second;
         logEndpoint("endpoint_started_again", *replaced);
-        forget(record.incarnation);
+        detach(record.incarnation);
     }
     std::shared_ptr<RoutedEndpoint>& entry = m_endpoints[record.incarnation];
     bool isNew = !entry;
@@ -107,16 +107,16 @@
         auto region = m_regionOfZone.find(record.availabilityZone);
         if (region != m_regionOfZone.end())
             entry->region = region->second;
-        enlist(entry, record.service);
+        addToService(entry, record.service);
     }
     if (!isNew && entry->record.service != record.service) {
-        Endpoints& before = m_ofService[entry->record.service];
+        Endpoints& before = m_endpointsByService[entry->record.service];
         before.erase(std::remove(before.begin(), before.end(), entry), before.end());
-        enlist(entry, record.service);
+        addToService(entry, record.service);
     }
     bool wasLeaving = entry->isLeaving;
     entry->isMissing = false;
-    entry->isLeaving = wasLeaving || record.isLeaving || hasSaidLeaving(record, now);
+    entry->isLeaving = wasLeaving || record.isLeaving || hasAnnouncedLeaving(record, now);
     entry->isUnreadable = false;
     entry->coldUntil = std::max(entry->coldUntil, now + record.coldFor);
     // A registration without a start time is attributed to the known start.
@@ -128,12 +128,12 @@
     if (!wasLeaving && entry->isLeaving)
         logEndpoint("endpoint_leaving", *entry);
     if (replaced)
-        endStart(*replaced);
+        abortReplacedStart(*replaced);
 }
 
-void EndpointTable::enlist(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service)
+void EndpointTable::addToService(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service)
 {
-    m_ofService[service].push_back(endpoint);
+    m_endpointsByService[service].push_back(endpoint);
     std::shared_ptr<AnswerTimes>& times = m_serviceTimes[service];
     if (!times)
         times = std::make_shared<AnswerTimes>();
@@ -141,11 +141,11 @@
 }
 
 // Called after the new start is in the table, so that the aborted requests can choose it.
-void EndpointTable::endStart(RoutedEndpoint& endpoint)
+void EndpointTable::abortReplacedStart(RoutedEndpoint& endpoint)
 {
-    if (m_onReplaced)
-        m_onReplaced(endpoint);
-    giveUpAll(endpoint, GiveUpReason::StartedAgain);
+    if (m_replacedObserver)
+        m_replacedObserver(endpoint);
+    abortAttempts(endpoint, GiveUpReason::StartedAgain);
 }
 
 void EndpointTable::noteUnreadable(const std::string& incarnation)
@@ -158,12 +158,12 @@
 }
 
 // Requests in flight at the endpoint hold a reference to it until they end.
-void EndpointTable::forget(const std::string& incarnation)
+void EndpointTable::detach(const std::string& incarnation)
 {
     auto found = m_endpoints.find(incarnation);
     std::shared_ptr<RoutedEndpoint> endpoint = found->second;
     endpoint->isLeaving = true;
-    Endpoints& list = m_ofService[endpoint->record.service];
+    Endpoints& list = m_endpointsByService[endpoint->record.service];
     list.erase(std::remove(list.begin(), list.end(), endpoint), list.end());
     m_endpoints.erase(found);
 }
@@ -179,7 +179,7 @@
             m_removedStarts.clear();
         m_removedStarts[incarnation] = *found->second->record.startedAt;
     }
-    forget(incarnation);
+    detach(incarnation);
 }
 
 void EndpointTable::noteMissing(const std::string& incarnation)
@@ -193,12 +193,12 @@
 
 void EndpointTable::removeMissing(TimePoint now)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> missing;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
         if (endpoint->isMissing)
-            gone.push_back(incarnation);
+            missing.push_back(incarnation);
     }
-    for (const std::string& incarnation : gone)
+    for (const std::string& incarnation : missing)
         remove(incarnation, now);
 }
 
@@ -206,10 +206,10 @@
 {
     for (const auto& [incarnation, endpoint] : m_endpoints) {
         const std::string& zone = endpoint->record.availabilityZone;
-        bool comesBack = m_evacuated.count(zone) > 0 && zones.count(zone) == 0;
+        bool isRestored = m_evacuated.count(zone) > 0 && zones.count(zone) == 0;
         const ServiceSettings* service = routes ? routes->findService(endpoint->record.service) : nullptr;
         // The endpoint had no requests, and may have been restarted in the meantime.
-        if (comesBack && service)
+        if (isRestored && service)
             endpoint->coldUntil = std::max(endpoint->coldUntil, now + service->warmup);
     }
     if (zones != m_evacuated)
@@ -230,32 +230,32 @@
 
 void EndpointTable::noteLeaving(RoutedEndpoint& endpoint, TimePoint now)
 {
-    if (m_leavingStarts.size() >= maxLeavingStarts)
-        absl::erase_if(m_leavingStarts, [now](const auto& start) { return now >= start.second; });
-    if (m_leavingStarts.size() < maxLeavingStarts)
-        m_leavingStarts[startName(endpoint.record)] = now + longestLeave;
+    if (m_leavingStartExpiry.size() >= maxLeavingStarts)
+        absl::erase_if(m_leavingStartExpiry, [now](const auto& start) { return now >= start.second; });
+    if (m_leavingStartExpiry.size() < maxLeavingStarts)
+        m_leavingStartExpiry[startName(endpoint.record)] = now + maxLeaveTime;
     if (!std::exchange(endpoint.isLeaving, true))
         logEndpoint("endpoint_leaving", endpoint);
 }
 
-bool EndpointTable::hasSaidLeaving(const EndpointRecord& record, TimePoint now) const
+bool EndpointTable::hasAnnouncedLeaving(const EndpointRecord& record, TimePoint now) const
 {
-    auto said = m_leavingStarts.find(startName(record));
-    return said != m_leavingStarts.end() && now < said->second;
+    auto announced = m_leavingStartExpiry.find(startName(record));
+    return announced != m_leavingStartExpiry.end() && now < announced->second;
 }
 
 void EndpointTable::notePause(RoutedEndpoint& endpoint, milliseconds pause, TimePoint now)
 {
     if (now >= endpoint.pausedUntil)
         logEndpoint("endpoint_paused", endpoint);
-    endpoint.pausedUntil = std::max(endpoint.pausedUntil, now + std::min(pause, longestPause));
+    endpoint.pausedUntil = std::max(endpoint.pausedUntil, now + std::min(pause, maxPause));
 }
 
 Duration EndpointTable::pauseOf(absl::string_view service, TimePoint now) const
 {
-    auto found = m_ofService.find(service);
+    auto found = m_endpointsByService.find(service);
     std::optional<Duration> shortest;
-    if (found == m_ofService.end())
+    if (found == m_endpointsByService.end())
         return Duration::zero();
     for (const auto& endpoint : found->second) {
         if (endpoint->region != m_region || !isUsable(*endpoint))
@@ -269,15 +269,15 @@
 void EndpointTable::noteBegan(RoutedEndpoint& endpoint, TimePoint now) const
 {
     if (endpoint.inFlight == 0)
-        endpoint.quietSince = now;
+        endpoint.silentSince = now;
     ++endpoint.inFlight;
 }
 
 // A crashed, paused or partitioned endpoint is detected only by its silence.
-bool EndpointTable::isSuspectHere(const RoutedEndpoint& endpoint, TimePoint now)
+bool EndpointTable::isLocallySuspect(const RoutedEndpoint& endpoint, TimePoint now)
 {
-    bool isSilent = endpoint.inFlight > 0 && now - endpoint.quietSince > longestQuiet;
-    return isSilent || now < endpoint.suspectUntil || failureShareOf(endpoint, now) > worstFailureShare;
+    bool isSilent = endpoint.inFlight > 0 && now - endpoint.silentSince > maxSilence;
+    return isSilent || now < endpoint.suspectUntil || failureShareOf(endpoint, now) > maxFailureShare;
 }
 
 // Silence that a single entry observes may come from a long prefill or from this entry's own
@@ -285,12 +285,12 @@
 // fault.
 bool EndpointTable::isSuspect(const RoutedEndpoint& endpoint, TimePoint now) const
 {
-    bool hasFailedHere = now < endpoint.suspectUntil || failureShareOf(endpoint, now) > worstFailureShare;
-    if (hasFailedHere)
+    bool hasFailedLocally = now < endpoint.suspectUntil || failureShareOf(endpoint, now) > maxFailureShare;
+    if (hasFailedLocally)
         return true;
-    bool isSilentHere = isSuspectHere(endpoint, now);
+    bool isSilentLocally = isLocallySuspect(endpoint, now);
     EndpointWorkload others = m_peerLoads.at(endpoint.hash);
-    std::uint32_t suspicions = others.suspicions + (isSilentHere ? 1 : 0);
+    std::uint32_t suspicions = others.suspicions + (isSilentLocally ? 1 : 0);
     std::uint32_t users = others.users + (endpoint.inFlight > 0 ? 1 : 0);
     return suspicions > 0 && suspicions * 2 > users;
 }
@@ -301,29 +301,29 @@
 {
     std::vector<std::shared_ptr<RoutedEndpoint>> silent;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
-        bool isWaitedFor = !endpoint->giveUps.empty() && now - endpoint->quietSince > longestQuiet + predictWait(answersOf(*endpoint, now), workOf(*endpoint), 0);
-        if (isWaitedFor && isSuspect(*endpoint, now))
+        bool isSilent = !endpoint->giveUps.empty() && now - endpoint->silentSince > maxSilence + predictWait(responseEstimateOf(*endpoint, now), workOf(*endpoint), 0);
+        if (isSilent && isSuspect(*endpoint, now))
             silent.push_back(endpoint);
     }
     for (const auto& endpoint : silent)
-        giveUpAll(*endpoint, GiveUpReason::Silent);
+        abortAttempts(*endpoint, GiveUpReason::Silent);
 }
 
 void EndpointTable::forgiveSilence(TimePoint now)
 {
     for (const auto& [incarnation, endpoint] : m_endpoints)
-        endpoint->quietSince = now;
+        endpoint->silentSince = now;
 }
 
 std::vector<EndpointWorkload> EndpointTable::ownLoads(TimePoint now) const
 {
-    constexpr std::int64_t tokensRounded = 1'000;
+    constexpr std::int64_t tokensPerUnit = 1'000;
     std::vector<EndpointWorkload> loads;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
-        bool isSuspect = isSuspectHere(*endpoint, now);
+        bool isSuspect = isLocallySuspect(*endpoint, now);
         if (endpoint->inFlight == 0 && !isSuspect)
             continue;
-        auto kilotokens = static_cast<std::uint32_t>((endpoint->unreadTokens + tokensRounded / 2) / tokensRounded);
+        auto kilotokens = static_cast<std::uint32_t>((endpoint->unreadTokens + tokensPerUnit / 2) / tokensPerUnit);
         loads.push_back({ endpoint->hash, endpoint->inFlight, kilotokens, isSuspect ? 1u : 0u });
     }
     return loads;
@@ -336,22 +336,22 @@
 
 double EndpointTable::failureShareOf(const RoutedEndpoint& endpoint, TimePoint now)
 {
-    double halves = std::chrono::duration<double>(now - endpoint.failureShareAt) / failureHalfTime;
-    return endpoint.failureShare * std::exp2(-halves);
+    double halfLives = std::chrono::duration<double>(now - endpoint.failureShareUpdatedAt) / failureHalfLife;
+    return endpoint.failureShare * std::exp2(-halfLives);
 }
 
 void EndpointTable::noteEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now)
 {
     --endpoint.inFlight;
-    bool wasSuspect = isSuspectHere(endpoint, now);
+    bool wasSuspect = isLocallySuspect(endpoint, now);
     double share = failureShareOf(endpoint, now);
-    share += isFailure ? failureWeight * (1 - share) : -answerWeight * share;
+    share += isFailure ? failureWeight * (1 - share) : -successWeight * share;
     endpoint.failureShare = share;
-    endpoint.failureShareAt = now;
+    endpoint.failureShareUpdatedAt = now;
     if (isFailure)
-        endpoint.suspectUntil = now + suspicion;
-    bool isNews = share > worstFailureShare && now >= endpoint.nextSuspectLog;
-    if (!isFailure || wasSuspect || !isNews)
+        endpoint.suspectUntil = now + suspectTime;
+    bool shouldLog = share > maxFailureShare && now >= endpoint.nextSuspectLog;
+    if (!isFailure || wasSuspect || !shouldLog)
         return;
     endpoint.nextSuspectLog = now + suspectLogInterval;
     logEndpoint("endpoint_suspect", endpoint);
@@ -360,8 +360,8 @@
 std::map<std::string, std::size_t> EndpointTable::usableByRegion(absl::string_view service, TimePoint now) const
 {
     std::map<std::string, std::size_t> counts;
-    auto found = m_ofService.find(service);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(service);
+    if (found == m_endpointsByService.end())
         return counts;
     for (const auto& endpoint : found->second) {
         if (isOpen(*endpoint, now) && !endpoint->region.empty())
--- a/lib/Ingress/EndpointTableChoice.cpp
+++ b/lib/Ingress/EndpointTableChoice.cpp
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 
 /// Lower bound of the estimated work of a request.
-static constexpr double leastWorkSeconds = 0.001;
+static constexpr double minWorkSeconds = 0.001;
 
 EndpointWork EndpointTable::workOf(const RoutedEndpoint& endpoint) const
 {
@@ -20,7 +20,7 @@
     return work;
 }
 
-AnswerEstimate EndpointTable::answersOf(const RoutedEndpoint& endpoint, TimePoint now)
+AnswerEstimate EndpointTable::responseEstimateOf(const RoutedEndpoint& endpoint, TimePoint now)
 {
     return estimateAnswers(endpoint.answerTimes, estimateAnswers(*endpoint.serviceTimes, usualAnswers(), now), now);
 }
@@ -58,17 +58,17 @@
     EndpointWork work = workOf(endpoint);
     EndpointCandidate candidate;
     candidate.incarnation = endpoint.record.incarnation;
-    AnswerEstimate answers = answersOf(endpoint, now);
-    candidate.wait = waitAt(endpoint, answers, work, *request.service);
-    candidate.load = candidate.wait + std::chrono::duration_cast<Duration>(timePerKilotoken(answers) * (work.requests / requestsPerKilotoken))
-        + std::chrono::duration_cast<Duration>(timePerEvent(answers) * request.events);
+    AnswerEstimate estimate = responseEstimateOf(endpoint, now);
+    candidate.wait = waitAt(endpoint, estimate, work, *request.service);
+    candidate.load = candidate.wait + std::chrono::duration_cast<Duration>(timePerKilotoken(estimate) * (work.requests / requestsPerKilotoken))
+        + std::chrono::duration_cast<Duration>(timePerEvent(estimate) * request.events);
     candidate.isSuspect = isSuspect(endpoint, now);
-    candidate.isTooBusy = request.demand && candidate.wait > longestWait(*request.demand, idleFirstByte(answers));
+    candidate.isTooBusy = request.demand && candidate.wait > longestWait(*request.demand, idleFirstByte(estimate));
     return candidate;
 }
 
 // Divides the connections that an endpoint accepts among the entries of the region.
-bool EndpointTable::hasRoom(const RoutedEndpoint& endpoint, const ServiceSettings& service) const
+bool EndpointTable::hasFreeConnection(const RoutedEndpoint& endpoint, const ServiceSettings& service) const
 {
     if (service.maxConnections == 0)
         return true;
@@ -76,61 +76,61 @@
     return endpoint.inFlight < share;
 }
 
-bool EndpointTable::tryTakeCold(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const
+bool EndpointTable::tryTakeColdRequest(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const
 {
     if (now >= endpoint.coldUntil || service.coldRequestsPerSecond <= 0) {
-        endpoint.coldRate.reset();
+        endpoint.coldRateLimit.reset();
         return true;
     }
-    SharedRate whole = m_coldTolerance;
-    whole.perSecond = service.coldRequestsPerSecond;
-    RateShare share = divideRate(m_entriesOfRegion, m_self, endpoint.record.incarnation, whole);
+    SharedRate totalRate = m_coldTolerance;
+    totalRate.perSecond = service.coldRequestsPerSecond;
+    RateShare share = divideRate(m_entriesOfRegion, m_self, endpoint.record.incarnation, totalRate);
     if (share.burst <= 0)
         return false;
     TokenRate rate { share.perSecond, share.burst };
-    if (!endpoint.coldRate)
-        endpoint.coldRate.emplace(rate, now);
-    endpoint.coldRate->setRate(rate, now);
-    return endpoint.coldRate->tryTake(1, now);
+    if (!endpoint.coldRateLimit)
+        endpoint.coldRateLimit.emplace(rate, now);
+    endpoint.coldRateLimit->setRate(rate, now);
+    return endpoint.coldRateLimit->tryTake(1, now);
 }
 
 EndpointDemand EndpointTable::demandOf(const EndpointRequest& request)
 {
     EndpointDemand demand;
     demand.sharedPart = request.sharedPart;
-    AnswerEstimate usual = usualAnswers();
-    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(usual) * (static_cast<double>(request.sharedTokens) / tokensPerKilotoken));
+    AnswerEstimate defaults = usualAnswers();
+    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(defaults) * (static_cast<double>(request.sharedTokens) / tokensPerKilotoken));
     if (request.demand)
-        demand.longestWait = longestWait(*request.demand, idleFirstByte(usual));
+        demand.longestWait = longestWait(*request.demand, idleFirstByte(defaults));
     return demand;
 }
 
 std::shared_ptr<RoutedEndpoint> EndpointTable::choose(const EndpointRequest& request, TimePoint now, Random& random)
 {
-    auto found = m_ofService.find(request.service->name);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(request.service->name);
+    if (found == m_endpointsByService.end())
         return nullptr;
-    m_partHolders.setMemory(request.service->memoryTokens);
+    m_segmentHolders.setMemory(request.service->memoryTokens);
     const Endpoints& endpoints = found->second;
-    std::uint32_t part = partHash(request.sharedPart);
+    std::uint32_t segment = partHash(request.sharedPart);
     std::vector<EndpointCandidate> candidates;
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
         const RoutedEndpoint& endpoint = *endpoints[i];
-        if (endpoint.region != m_region || !isOpen(endpoint, now) || !hasRoom(endpoint, *request.service))
+        if (endpoint.region != m_region || !isOpen(endpoint, now) || !hasFreeConnection(endpoint, *request.service))
             continue;
         const std::vector<std::string>& tried = *request.tried;
         bool wasTried = std::find(tried.begin(), tried.end(), endpoint.record.incarnation) != tried.end();
         if (wasTried && !request.mayBeTried)
             continue;
         EndpointCandidate candidate = candidateOf(endpoint, request, now);
-        candidate.holdsPart = !request.sharedPart.empty() && m_partHolders.holds(endpoint.hash, part);
+        candidate.holdsPart = !request.sharedPart.empty() && m_segmentHolders.holds(endpoint.hash, segment);
         candidate.index = i;
         candidate.isSuspect |= wasTried;
         candidates.push_back(candidate);
     }
     EndpointDemand demand = demandOf(request);
     while (std::optional<std::size_t> index = chooseEndpoint(candidates, demand, random)) {
-        if (tryTakeCold(*endpoints[*index], *request.service, now))
+        if (tryTakeColdRequest(*endpoints[*index], *request.service, now))
             return endpoints[*index];
         candidates.erase(std::find_if(candidates.begin(), candidates.end(), [&](const auto& candidate) { return candidate.index == *index; }));
     }
@@ -143,20 +143,20 @@
 {
     ServiceOutlook outlook;
     outlook.service = serviceHash(service.name);
-    auto found = m_ofService.find(service.name);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(service.name);
+    if (found == m_endpointsByService.end())
         return outlook;
     std::vector<Duration> waits;
-    Duration reading { 0 };
+    Duration prefill { 0 };
     Duration events { 0 };
     for (const auto& endpoint : found->second) {
         bool isCold = now < endpoint->coldUntil && service.coldRequestsPerSecond > 0;
         if (endpoint->region != m_region || !isOpen(*endpoint, now) || isCold || isSuspect(*endpoint, now))
             continue;
-        AnswerEstimate answers = answersOf(*endpoint, now);
-        waits.push_back(waitAt(*endpoint, answers, workOf(*endpoint), service));
-        reading += timePerKilotoken(answers);
-        events += timePerEvent(answers);
+        AnswerEstimate estimate = responseEstimateOf(*endpoint, now);
+        waits.push_back(waitAt(*endpoint, estimate, workOf(*endpoint), service));
+        prefill += timePerKilotoken(estimate);
+        events += timePerEvent(estimate);
     }
     if (waits.empty())
         return outlook;
@@ -165,7 +165,7 @@
     Duration sum = std::accumulate(waits.begin(), waits.begin() + static_cast<std::ptrdiff_t>(half), Duration::zero());
     outlook.endpoints = static_cast<std::uint32_t>(waits.size());
     outlook.wait = std::chrono::duration_cast<milliseconds>(sum / half);
-    outlook.perKilotoken = std::chrono::duration_cast<std::chrono::microseconds>(reading / waits.size());
+    outlook.perKilotoken = std::chrono::duration_cast<std::chrono::microseconds>(prefill / waits.size());
     outlook.perEvent = std::chrono::duration_cast<std::chrono::microseconds>(events / waits.size());
     return outlook;
 }
@@ -174,17 +174,17 @@
 // occupies a slot divided by the number of slots, whichever is longer.
 Duration EndpointTable::workPerRequest(absl::string_view service, std::int64_t promptTokens, TimePoint now) const
 {
-    auto found = m_ofService.find(service);
+    auto found = m_endpointsByService.find(service);
     double perSecond = 0;
-    if (found == m_ofService.end())
+    if (found == m_endpointsByService.end())
         return Duration::zero();
     for (const auto& endpoint : found->second) {
         if (endpoint->region != m_region || !isUsable(*endpoint))
             continue;
-        AnswerEstimate answers = answersOf(*endpoint, now);
-        double reading = answers.secondsPerKilotoken * static_cast<double>(promptTokens) / tokensPerKilotoken;
-        double holding = answers.heldSeconds / std::max(endpoint->record.slots, 1u);
-        perSecond += 1 / std::max({ reading, holding, leastWorkSeconds });
+        AnswerEstimate estimate = responseEstimateOf(*endpoint, now);
+        double prefill = estimate.secondsPerKilotoken * static_cast<double>(promptTokens) / tokensPerKilotoken;
+        double slotTime = estimate.heldSeconds / std::max(endpoint->record.slots, 1u);
+        perSecond += 1 / std::max({ prefill, slotTime, minWorkSeconds });
     }
     if (perSecond <= 0)
         return Duration::zero();
--- a/lib/Ingress/EntryRegistration.cpp
+++ b/lib/Ingress/EntryRegistration.cpp
@@ -15,7 +15,7 @@
 
     // Wraps a callback so that it does nothing after its registration attempt has ended.
     template <typename Function>
-    auto guarded(Function function)
+    auto ifCurrent(Function function)
     {
         return [weak = weak_from_this(), epoch = epoch, function](const auto&... arguments) {
             auto self = weak.lock();
@@ -24,19 +24,19 @@
         };
     }
 
-    void begin();
+    void requestLease();
     void onGranted(const absl::StatusOr<StoreLease>& granted);
     void onWritten(SwapResult result);
     void onRead(const absl::StatusOr<StoredValue>& current);
-    void takeUp();
+    void startRenewing();
     void renew();
     void onRenewed(const absl::StatusOr<std::chrono::milliseconds>& left);
-    void beginAgain(const char* reason);
+    void restart(const char* reason);
     void dropLease();
-    std::chrono::milliseconds nextRetry()
+    std::chrono::milliseconds nextRetryDelay()
     {
         std::chrono::milliseconds delay = retryDelay;
-        retryDelay = std::min(retryDelay * 2, options.longestRetry);
+        retryDelay = std::min(retryDelay * 2, options.maxRetryDelay);
         return delay;
     }
 
@@ -45,25 +45,25 @@
     EntryRegistrationOptions options;
     std::uint64_t epoch { 0 };
     StoreLease lease { 0 };
-    std::chrono::milliseconds retryDelay { options.retryEvery };
+    std::chrono::milliseconds retryDelay { options.firstRetryDelay };
     bool isRunning { false };
     bool isRegistered { false };
 };
 
-void EntryRegistration::Impl::begin()
+void EntryRegistration::Impl::requestLease()
 {
     ++epoch;
-    store.grantLease(options.timeToLive, guarded([](Impl& self, const absl::StatusOr<StoreLease>& granted) { self.onGranted(granted); }));
+    store.grantLease(options.timeToLive, ifCurrent([](Impl& self, const absl::StatusOr<StoreLease>& granted) { self.onGranted(granted); }));
 }
 
 void EntryRegistration::Impl::onGranted(const absl::StatusOr<StoreLease>& granted)
 {
     if (!granted.ok()) {
-        beginAgain("lease not granted");
+        restart("lease not granted");
         return;
     }
     lease = *granted;
-    store.compareAndSwap(options.key, 0, options.value, lease, guarded([](Impl& self, SwapResult result) { self.onWritten(result); }));
+    store.compareAndSwap(options.key, 0, options.value, lease, ifCurrent([](Impl& self, SwapResult result) { self.onWritten(result); }));
 }
 
 // A write whose response was lost may have been applied, or may be applied later. If the key
@@ -73,14 +73,14 @@
 {
     switch (result.outcome) {
     case SwapOutcome::Committed:
-        takeUp();
+        startRenewing();
         return;
     case SwapOutcome::Unknown:
-        store.get(options.key, guarded([](Impl& self, const absl::StatusOr<StoredValue>& current) { self.onRead(current); }));
+        store.get(options.key, ifCurrent([](Impl& self, const absl::StatusOr<StoredValue>& current) { self.onRead(current); }));
         return;
     case SwapOutcome::Conflict:
     case SwapOutcome::NotSent:
-        beginAgain("key not written");
+        restart("key not written");
         return;
     }
 }
@@ -88,35 +88,35 @@
 void EntryRegistration::Impl::onRead(const absl::StatusOr<StoredValue>& current)
 {
     if (current.ok() && current->revision != 0)
-        takeUp();
+        startRenewing();
     else
-        beginAgain("key not found");
+        restart("key not found");
 }
 
-void EntryRegistration::Impl::takeUp()
+void EntryRegistration::Impl::startRenewing()
 {
     isRegistered = true;
-    retryDelay = options.retryEvery;
+    retryDelay = options.firstRetryDelay;
     logChange(LogLevel::Info, "entry_registered", { { "key", options.key } });
-    scheduler.callAfter(options.renewEvery, guarded([](Impl& self) { self.renew(); }));
+    scheduler.callAfter(options.renewEvery, ifCurrent([](Impl& self) { self.renew(); }));
 }
 
 void EntryRegistration::Impl::renew()
 {
-    store.keepAlive(lease, guarded([](Impl& self, const absl::StatusOr<std::chrono::milliseconds>& left) { self.onRenewed(left); }));
+    store.keepAlive(lease, ifCurrent([](Impl& self, const absl::StatusOr<std::chrono::milliseconds>& left) { self.onRenewed(left); }));
 }
 
 void EntryRegistration::Impl::onRenewed(const absl::StatusOr<std::chrono::milliseconds>& left)
 {
     if (absl::IsNotFound(left.status())) {
         // The store responded, so the registration needs no longer delay.
-        retryDelay = options.retryEvery;
-        beginAgain("lease expired");
+        retryDelay = options.firstRetryDelay;
+        restart("lease expired");
         return;
     }
     if (left.ok())
-        retryDelay = options.retryEvery;
-    scheduler.callAfter(left.ok() ? options.renewEvery : nextRetry(), guarded([](Impl& self) { self.renew(); }));
+        retryDelay = options.firstRetryDelay;
+    scheduler.callAfter(left.ok() ? options.renewEvery : nextRetryDelay(), ifCurrent([](Impl& self) { self.renew(); }));
 }
 
 void EntryRegistration::Impl::dropLease()
@@ -128,12 +128,12 @@
     isRegistered = false;
 }
 
-void EntryRegistration::Impl::beginAgain(const char* reason)
+void EntryRegistration::Impl::restart(const char* reason)
 {
     if (isRegistered)
         logChange(LogLevel::Warning, "entry_registration_lost", { { "key", options.key }, { "reason", reason } });
     dropLease();
-    scheduler.callAfter(nextRetry(), guarded([](Impl& self) { self.begin(); }));
+    scheduler.callAfter(nextRetryDelay(), ifCurrent([](Impl& self) { self.requestLease(); }));
 }
 
 EntryRegistration::EntryRegistration(Store& store, Scheduler& scheduler, EntryRegistrationOptions options)
@@ -148,7 +148,7 @@
     if (m_impl->isRunning)
         return;
     m_impl->isRunning = true;
-    m_impl->begin();
+    m_impl->requestLease();
 }
 
 void EntryRegistration::stop()
@@ -160,7 +160,7 @@
 void EntryRegistration::noteVanished()
 {
     if (m_impl->isRegistered)
-        m_impl->beginAgain("key deleted");
+        m_impl->restart("key deleted");
 }
 
 bool EntryRegistration::isRegistered() const
--- a/lib/Ingress/EntryTable.cpp
+++ b/lib/Ingress/EntryTable.cpp
@@ -11,12 +11,12 @@
 
 /// Time for which an entry that is shutting down still accepts requests after its
 /// registration was removed.
-static constexpr std::chrono::milliseconds stopTime { 2'500 };
+static constexpr std::chrono::milliseconds shutdownTime { 2'500 };
 /// Time for which requests are still forwarded to an entry whose registration was removed, if
 /// no other entry is left. Longer than outages of the store usually last.
-static constexpr std::chrono::milliseconds departedKept { 15'000 };
+static constexpr std::chrono::milliseconds departedRetention { 15'000 };
 /// Time for which an entry that did not answer a forwarded request is skipped.
-static constexpr std::chrono::milliseconds peerSuspicion { 1'000 };
+static constexpr std::chrono::milliseconds peerSuspectTime { 1'000 };
 
 std::string writeEntryRecord(const EntryRecord& record)
 {
@@ -88,8 +88,8 @@
 void EntryTable::remove(const std::string& key, TimePoint now)
 {
     recentSize(now);
-    auto isOver = [now](const Departed& departed) { return now - departed.at > departedKept; };
-    m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isOver), m_departed.end());
+    auto isExpired = [now](const Departed& departed) { return now - departed.at > departedRetention; };
+    m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isExpired), m_departed.end());
     auto found = m_entries.find(key);
     if (found != m_entries.end())
         m_departed.push_back({ found->second.record, now });
@@ -107,12 +107,12 @@
 
 void EntryTable::removeMissing(TimePoint now)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> missing;
     for (const auto& [key, entry] : m_entries) {
         if (entry.isMissing)
-            gone.push_back(key);
+            missing.push_back(key);
     }
-    for (const std::string& key : gone)
+    for (const std::string& key : missing)
         remove(key, now);
 }
 
@@ -146,12 +146,12 @@
     }
     for (const Departed& departed : m_departed) {
         bool isAllowed = departed.record.region == region || contains(homes.regions, departed.record.region);
-        if (isAllowed && !homes.regions.empty() && now - departed.at <= stopTime)
+        if (isAllowed && !homes.regions.empty() && now - departed.at <= shutdownTime)
             addOnce(leaving, departed.record.clients);
     }
-    for (std::vector<SocketAddress>* best : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
-        if (!best->empty())
-            return std::move(*best);
+    for (std::vector<SocketAddress>* group : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
+        if (!group->empty())
+            return std::move(*group);
     }
     if (homes.bindsAll)
         all.clear();
@@ -160,24 +160,24 @@
 
 std::optional<SocketAddress> EntryTable::choosePeer(const std::string& region, TimePoint now, Random& random) const
 {
-    std::vector<SocketAddress> sound;
+    std::vector<SocketAddress> candidates;
     for (const auto& [key, entry] : m_entries) {
         const SocketAddress& peer = entry.record.peers;
         auto suspect = m_suspectUntil.find(peer);
         bool isSuspect = suspect != m_suspectUntil.end() && now < suspect->second;
         if (entry.record.region == region && peer != m_self.peers && !isSuspect)
-            addOnce(sound, peer);
+            addOnce(candidates, peer);
     }
-    if (sound.empty())
+    if (candidates.empty())
         return std::nullopt;
-    return sound[random.below(sound.size())];
+    return candidates[random.below(candidates.size())];
 }
 
 std::optional<SocketAddress> EntryTable::chooseDepartedPeer(const std::string& region, TimePoint now, Random& random) const
 {
     std::vector<SocketAddress> peers;
     for (const Departed& departed : m_departed) {
-        if (departed.record.region == region && now - departed.at <= departedKept)
+        if (departed.record.region == region && now - departed.at <= departedRetention)
             addOnce(peers, departed.record.peers);
     }
     if (peers.empty())
@@ -206,7 +206,7 @@
 
 void EntryTable::notePeerFailure(const SocketAddress& peer, TimePoint now)
 {
-    m_suspectUntil[peer] = now + peerSuspicion;
+    m_suspectUntil[peer] = now + peerSuspectTime;
     auto isPeer = [&peer](const Departed& departed) { return departed.record.peers == peer; };
     m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isPeer), m_departed.end());
     logChange(LogLevel::Warning, "entry_suspect", { { "entry", peer.toString() } });
--- a/unittests/Ingress/EntryRegistrationTest.cpp
+++ b/unittests/Ingress/EntryRegistrationTest.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-struct RegistrationWorld {
-    bool isThere() const { return store.peek("entries/a").revision != 0; }
+struct RegistrationFixture {
+    bool keyExists() const { return store.peek("entries/a").revision != 0; }
 
     ManualScheduler scheduler;
     FakeStore store { scheduler };
@@ -21,61 +21,61 @@
 
 TEST_CASE("the key exists while the registration runs and is deleted when it stops")
 {
-    RegistrationWorld world;
-    world.registration.start();
-    world.scheduler.advance(30s);
-    CHECK(world.isThere());
-    CHECK(world.store.peek("entries/a").value == "value");
-    world.registration.stop();
-    world.scheduler.advance(100ms);
-    CHECK_FALSE(world.isThere());
-    world.scheduler.advance(30s);
-    CHECK_FALSE(world.isThere());
+    RegistrationFixture fixture;
+    fixture.registration.start();
+    fixture.scheduler.advance(30s);
+    CHECK(fixture.keyExists());
+    CHECK(fixture.store.peek("entries/a").value == "value");
+    fixture.registration.stop();
+    fixture.scheduler.advance(100ms);
+    CHECK_FALSE(fixture.keyExists());
+    fixture.scheduler.advance(30s);
+    CHECK_FALSE(fixture.keyExists());
 }
 
 TEST_CASE("an established registration calls the store only to renew its lease")
 {
-    RegistrationWorld world;
-    world.registration.start();
-    world.scheduler.advance(20s);
-    CHECK(world.store.calls(StoreCallGroup::Read) == 0);
-    CHECK(world.store.calls(StoreCallGroup::Write) == 1);
-    CHECK(world.store.calls(StoreCallGroup::Lease) <= 21);
+    RegistrationFixture fixture;
+    fixture.registration.start();
+    fixture.scheduler.advance(20s);
+    CHECK(fixture.store.calls(StoreCallGroup::Read) == 0);
+    CHECK(fixture.store.calls(StoreCallGroup::Write) == 1);
+    CHECK(fixture.store.calls(StoreCallGroup::Lease) <= 21);
 }
 
 TEST_CASE("a registration that expired during an outage is written again soon after the outage")
 {
-    RegistrationWorld world;
-    world.registration.start();
-    world.scheduler.advance(2s);
-    world.store.setDown(true);
-    world.scheduler.advance(10s);
-    world.store.setDown(false);
-    world.scheduler.advance(2s);
-    CHECK(world.isThere());
+    RegistrationFixture fixture;
+    fixture.registration.start();
+    fixture.scheduler.advance(2s);
+    fixture.store.setDown(true);
+    fixture.scheduler.advance(10s);
+    fixture.store.setDown(false);
+    fixture.scheduler.advance(2s);
+    CHECK(fixture.keyExists());
 }
 
 TEST_CASE("a key that was deleted although its lease is valid is written again after noteVanished()")
 {
-    RegistrationWorld world;
-    world.registration.start();
-    world.scheduler.advance(2s);
-    world.store.erase("entries/a");
-    world.registration.noteVanished();
-    world.scheduler.advance(1s);
-    CHECK(world.isThere());
+    RegistrationFixture fixture;
+    fixture.registration.start();
+    fixture.scheduler.advance(2s);
+    fixture.store.erase("entries/a");
+    fixture.registration.noteVanished();
+    fixture.scheduler.advance(1s);
+    CHECK(fixture.keyExists());
 }
 
 TEST_CASE("an entry registers despite lost requests, lost responses and late writes")
 {
     for (StoreFault fault : { StoreFault::NotSent, StoreFault::LostRequest, StoreFault::LostAnswer, StoreFault::AppliedLate }) {
         for (StoreCallGroup group : { StoreCallGroup::Write, StoreCallGroup::Lease }) {
-            RegistrationWorld world;
-            world.store.failNext(group, fault, 2);
-            world.registration.start();
-            world.scheduler.advance(15s);
+            RegistrationFixture fixture;
+            fixture.store.failNext(group, fault, 2);
+            fixture.registration.start();
+            fixture.scheduler.advance(15s);
             CAPTURE(static_cast<int>(fault), static_cast<int>(group));
-            CHECK(world.isThere());
+            CHECK(fixture.keyExists());
         }
     }
 }
--- a/unittests/Ingress/EntryTableTest.cpp
+++ b/unittests/Ingress/EntryTableTest.cpp
@@ -5,61 +5,61 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static SocketAddress at(int port)
+static SocketAddress loopback(int port)
 {
     return { "127.0.0.1", static_cast<std::uint16_t>(port) };
 }
 
-static EntryRecord entry(const std::string& region, const std::string& zone, int port)
+static EntryRecord makeRecord(const std::string& region, const std::string& zone, int port)
 {
-    return { region, zone, at(port), at(port + 1'000) };
+    return { region, zone, loopback(port), loopback(port + 1'000) };
 }
 
-static EntryTable smallTable()
+static EntryTable makeTable()
 {
-    EntryTable table(entry("north", "north-a", 1));
-    table.put("n1", entry("north", "north-a", 1));
-    table.put("n2", entry("north", "north-b", 2));
-    table.put("s1", entry("south", "south-a", 3));
-    table.put("w1", entry("west", "west-a", 4));
+    EntryTable table(makeRecord("north", "north-a", 1));
+    table.put("n1", makeRecord("north", "north-a", 1));
+    table.put("n2", makeRecord("north", "north-b", 2));
+    table.put("s1", makeRecord("south", "south-a", 3));
+    table.put("w1", makeRecord("west", "west-a", 4));
     return table;
 }
 
 TEST_CASE("clients get entries of their zone, else of their region, else of a home region, else of all regions")
 {
-    EntryTable table = smallTable();
+    EntryTable table = makeTable();
     using Addresses = std::vector<SocketAddress>;
-    CHECK(table.entriesFor("north", "north-b", {}, TimePoint { 10s }) == Addresses { at(2) });
-    CHECK(table.entriesFor("north", "north-c", {}, TimePoint { 10s }) == Addresses { at(1), at(2) });
-    CHECK(table.entriesFor("east", "east-a", { { "south" } }, TimePoint { 10s }) == Addresses { at(3) });
+    CHECK(table.entriesFor("north", "north-b", {}, TimePoint { 10s }) == Addresses { loopback(2) });
+    CHECK(table.entriesFor("north", "north-c", {}, TimePoint { 10s }) == Addresses { loopback(1), loopback(2) });
+    CHECK(table.entriesFor("east", "east-a", { { "south" } }, TimePoint { 10s }) == Addresses { loopback(3) });
     CHECK(table.entriesFor("east", "east-a", { { "nowhere" } }, TimePoint { 10s }).size() == 4);
     CHECK(table.entriesFor("east", "east-a", {}, TimePoint { 10s }).size() == 4);
 }
 
 TEST_CASE("a restarted entry with two registrations is listed once")
 {
-    EntryTable table = smallTable();
-    table.put("n2-again", entry("north", "north-b", 2));
+    EntryTable table = makeTable();
+    table.put("n2-again", makeRecord("north", "north-b", 2));
     CHECK(table.entriesFor("north", "north-b", {}, TimePoint { 10s }).size() == 1);
     CHECK(table.keysOfRegion("north").size() == 2);
 }
 
 TEST_CASE("a peer that didn't answer isn't chosen for a while, and the entry never chooses itself")
 {
-    EntryTable table = smallTable();
+    EntryTable table = makeTable();
     Random random(1);
     TimePoint now { 10s };
-    CHECK(table.choosePeer("south", now, random) == at(1'003));
-    table.notePeerFailure(at(1'003), now);
+    CHECK(table.choosePeer("south", now, random) == loopback(1'003));
+    table.notePeerFailure(loopback(1'003), now);
     CHECK_FALSE(table.choosePeer("south", now, random));
     CHECK(table.choosePeer("south", now + 2s, random));
     for (int i = 0; i < 20; ++i)
-        CHECK(table.choosePeer("north", now, random) == at(1'002));
+        CHECK(table.choosePeer("north", now, random) == loopback(1'002));
 }
 
 TEST_CASE("a missing entry stays in the table until removeMissing()")
 {
-    EntryTable table = smallTable();
+    EntryTable table = makeTable();
     table.noteMissing("s1");
     CHECK(table.size() == 4);
     table.removeMissing(TimePoint { 10s });
@@ -68,13 +68,13 @@
 
 TEST_CASE("a written registration is parsed back unchanged, and invalid text is rejected")
 {
-    EntryRecord record = entry("north", "north-a", 5);
+    EntryRecord record = makeRecord("north", "north-a", 5);
     absl::StatusOr<EntryRecord> read = readEntryRecord(writeEntryRecord(record));
     REQUIRE(read.ok());
     CHECK(read->region == "north");
     CHECK(read->availabilityZone == "north-a");
-    CHECK(read->clients == at(5));
-    CHECK(read->peers == at(1'005));
+    CHECK(read->clients == loopback(5));
+    CHECK(read->peers == loopback(1'005));
     CHECK_FALSE(readEntryRecord("").ok());
     CHECK_FALSE(readEntryRecord("{\"clients\":5}").ok());
     CHECK_FALSE(readEntryRecord("[]").ok());
@@ -82,40 +82,40 @@
 
 TEST_CASE("clients with home regions get an entry that was removed a moment ago rather than one elsewhere")
 {
-    EntryTable table = smallTable();
+    EntryTable table = makeTable();
     TimePoint now { 10s };
     table.remove("n1", now - 8s);
     table.remove("n2", now);
     using Addresses = std::vector<SocketAddress>;
-    CHECK(table.entriesFor("north", "north-a", { { "north" } }, now + 1s) == Addresses { at(2) });
+    CHECK(table.entriesFor("north", "north-a", { { "north" } }, now + 1s) == Addresses { loopback(2) });
     CHECK(table.entriesFor("north", "north-a", { { "north" } }, now + 4s).size() == 2);
     CHECK(table.entriesFor("north", "north-a", {}, now + 1s).size() == 2);
-    CHECK(table.entriesFor("north", "north-a", { { "south" } }, now + 1s) == Addresses { at(3) });
+    CHECK(table.entriesFor("north", "north-a", { { "south" } }, now + 1s) == Addresses { loopback(3) });
 }
 
 TEST_CASE("if the home regions bind every request, no entry of another region is returned")
 {
-    EntryTable table = smallTable();
+    EntryTable table = makeTable();
     TimePoint now { 10s };
     HostHomes homes { { "south" }, true };
-    CHECK(table.entriesFor("east", "east-a", homes, now) == std::vector<SocketAddress> { at(3) });
-    CHECK(table.entriesFor("north", "north-a", homes, now) == std::vector<SocketAddress> { at(1) });
+    CHECK(table.entriesFor("east", "east-a", homes, now) == std::vector<SocketAddress> { loopback(3) });
+    CHECK(table.entriesFor("north", "north-a", homes, now) == std::vector<SocketAddress> { loopback(1) });
     table.remove("s1", now);
-    CHECK(table.entriesFor("east", "east-a", homes, now + 1s) == std::vector<SocketAddress> { at(3) });
+    CHECK(table.entriesFor("east", "east-a", homes, now + 1s) == std::vector<SocketAddress> { loopback(3) });
     CHECK(table.entriesFor("east", "east-a", homes, now + 4s).empty());
 }
 
 TEST_CASE("an entry whose registration was removed remains a departed peer for a while or until it doesn't answer")
 {
-    EntryTable table = smallTable();
+    EntryTable table = makeTable();
     Random random(1);
     TimePoint now { 10s };
     CHECK_FALSE(table.chooseDepartedPeer("south", now, random));
     table.remove("s1", now);
     CHECK_FALSE(table.choosePeer("south", now + 10s, random));
-    CHECK(table.chooseDepartedPeer("south", now + 10s, random) == at(1'003));
+    CHECK(table.chooseDepartedPeer("south", now + 10s, random) == loopback(1'003));
     CHECK_FALSE(table.chooseDepartedPeer("north", now + 10s, random));
     CHECK_FALSE(table.chooseDepartedPeer("south", now + 20s, random));
-    table.notePeerFailure(at(1'003), now + 10s);
+    table.notePeerFailure(loopback(1'003), now + 10s);
     CHECK_FALSE(table.chooseDepartedPeer("south", now + 11s, random));
 }
