--- a/lib/Ingress/EndpointTable.cpp
+++ b/lib/Ingress/EndpointTable.cpp
@@ -11,48 +11,51 @@
 
 using std::chrono::milliseconds;
 
-/// An endpoint that failed is passed over for this long: a crash shows at once,
-/// and most single failures are over by then.
-static constexpr milliseconds suspicion { 300 };
-/// A failure moves the share of failures this far towards one, an answer back
-/// towards zero; it also halves with time, so that the endpoint is tried again.
+/// Time for which an endpoint is suspect after a failure. A crash causes further failures
+/// at once, and most single failures are over by then.
+static constexpr milliseconds suspectTime { 300 };
+/// Weights of the moving average of failures: a failure moves it towards one, a success
+/// towards zero. The average also halves every failureHalfLife, so that the endpoint gets
+/// requests again.
 static constexpr double failureWeight = 0.2;
-static constexpr double answerWeight = 0.1;
-static constexpr std::chrono::seconds failureHalfTime { 3 };
-/// Reached by two failures in quick succession, or where a third of the
-/// attempts fail.
-static constexpr double worstFailureShare = 0.3;
-/// An endpoint with requests that sends nothing for this long is passed over
-/// until it does: a plain answer takes up to 0.3 s and a full queue 0.25 s more,
-/// and an engine that reads a long prompt still sends the events of others.
-static constexpr milliseconds longestQuiet { 1'000 };
-/// A suspect endpoint is logged this often at most.
+static constexpr double successWeight = 0.1;
+static constexpr std::chrono::seconds failureHalfLife { 3 };
+/// Share of failures above which an endpoint is suspect. Two failures in quick succession
+/// exceed it, and so does an endpoint at which a third of the attempts fail.
+static constexpr double maxFailureShare = 0.3;
+/// An endpoint that has requests in flight and sends nothing for this long is suspect until
+/// it sends something. A response that isn't streamed takes up to 0.3 s and a full queue
+/// adds 0.25 s; an engine that processes a long prompt still sends events of its other
+/// requests.
+static constexpr milliseconds maxSilence { 1'000 };
+/// Minimum interval of the log events about one suspect endpoint.
 static constexpr std::chrono::seconds suspectLogInterval { 2 };
-/// Names of removed endpoints whose start is remembered. An old registration is
-/// late by seconds, in which far fewer are removed.
+/// Maximum number of removed endpoints whose start time is kept. An outdated registration
+/// arrives at most seconds late, and far fewer endpoints are removed in that time.
 static constexpr std::size_t maxRemovedStarts = 4'096;
-/// Starts that are remembered as leaving beyond their registrations.
+/// Maximum number of starts that are recorded as leaving independently of their
+/// registrations.
 static constexpr std::size_t maxLeavingStarts = 4'096;
-/// An endpoint that said that it leaves is gone by then. A later one under its
-/// name that doesn't state its start is used again.
-static constexpr std::chrono::minutes longestLeave { 2 };
-/// A pause ends after this, so that a wrong figure doesn't take an endpoint away for good.
-static constexpr milliseconds longestPause = std::chrono::minutes(10);
+/// An endpoint has terminated this long after it announced that it is leaving. After that,
+/// a registration under the same name that doesn't state a start time is used again.
+static constexpr std::chrono::minutes maxLeaveTime { 2 };
+/// Maximum length of a pause, so that a wrong value doesn't exclude an endpoint for ever.
+static constexpr milliseconds maxPause = std::chrono::minutes(10);
 
 EndpointTable::EndpointTable(std::string region, std::map<std::string, std::string> regionOfZone)
     : m_region(std::move(region))
     , m_regionOfZone(std::move(regionOfZone))
 {
     for (const auto& [zone, name] : m_regionOfZone)
-        m_regionOfPlace[placeHash(name)] = name;
+        m_regionByHash[reportedRegionHash(name)] = name;
 }
 
-// Each attempt takes itself off the list.
-static void giveUpAll(const RoutedEndpoint& endpoint, GiveUpReason reason)
+// Iterates over a copy because each attempt removes itself from the map.
+static void abortAttempts(const RoutedEndpoint& endpoint, GiveUpReason reason)
 {
-    auto giveUps = endpoint.giveUps;
-    for (const auto& [attempt, giveUp] : giveUps)
-        giveUp(reason);
+    auto callbacks = endpoint.giveUps;
+    for (const auto& [attempt, abortAttempt] : callbacks)
+        abortAttempt(reason);
 }
 
 static void logEndpoint(const char* event, const RoutedEndpoint& endpoint)
@@ -63,7 +66,7 @@
             { "in_flight", endpoint.inFlight } });
 }
 
-// Loads of two starts under one name must not be added up.
+// Includes the start time, so that the loads of two starts under one name are not added up.
 std::string EndpointTable::startName(const EndpointRecord& record)
 {
     return record.startedAt ? absl::StrCat(record.incarnation, "@", record.startedAt->count()) : record.incarnation;
@@ -74,8 +77,8 @@
     return record.startedAt && start && *record.startedAt < *start;
 }
 
-// The store's entries come in order, but one that a relay or a stale read brings
-// may be older than what is known.
+// The store delivers changes in order, but a registration from a relay or a stale read may
+// be older than the known one.
 bool EndpointTable::isOutdated(const EndpointRecord& record) const
 {
     auto removed = m_removedStarts.find(record.incarnation);
@@ -94,7 +97,7 @@
     if (known != m_endpoints.end() && isBefore(known->second->record, record.startedAt)) {
         replaced = known->second;
         logEndpoint("endpoint_started_again", *replaced);
-        forget(record.incarnation);
+        detach(record.incarnation);
     }
     std::shared_ptr<RoutedEndpoint>& entry = m_endpoints[record.incarnation];
     bool isNew = !entry;
@@ -104,19 +107,19 @@
         auto region = m_regionOfZone.find(record.availabilityZone);
         if (region != m_regionOfZone.end())
             entry->region = region->second;
-        enlist(entry, record.service);
+        addToService(entry, record.service);
     }
     if (!isNew && entry->record.service != record.service) {
-        Endpoints& before = m_ofService[entry->record.service];
+        Endpoints& before = m_endpointsByService[entry->record.service];
         before.erase(std::remove(before.begin(), before.end(), entry), before.end());
-        enlist(entry, record.service);
+        addToService(entry, record.service);
     }
     bool wasLeaving = entry->isLeaving;
     entry->isMissing = false;
-    entry->isLeaving = wasLeaving || record.isLeaving || hasSaidLeaving(record, now);
+    entry->isLeaving = wasLeaving || record.isLeaving || hasAnnouncedLeaving(record, now);
     entry->isUnreadable = false;
     entry->coldUntil = std::max(entry->coldUntil, now + record.coldFor);
-    // A registration that leaves the start out is taken for the one that is known.
+    // A registration without a start time is attributed to the known start.
     if (!record.startedAt)
         record.startedAt = entry->record.startedAt;
     entry->record = std::move(record);
@@ -125,24 +128,24 @@
     if (!wasLeaving && entry->isLeaving)
         logEndpoint("endpoint_leaving", *entry);
     if (replaced)
-        endStart(*replaced);
+        abortReplacedStart(*replaced);
 }
 
-void EndpointTable::enlist(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service)
+void EndpointTable::addToService(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service)
 {
-    m_ofService[service].push_back(endpoint);
+    m_endpointsByService[service].push_back(endpoint);
     std::shared_ptr<AnswerTimes>& times = m_serviceTimes[service];
     if (!times)
         times = std::make_shared<AnswerTimes>();
     endpoint->serviceTimes = times;
 }
 
-// Requests that are given up may choose the new start, which is known by now.
-void EndpointTable::endStart(RoutedEndpoint& endpoint)
+// Called after the new start is in the table, so that the aborted requests can choose it.
+void EndpointTable::abortReplacedStart(RoutedEndpoint& endpoint)
 {
-    if (m_onReplaced)
-        m_onReplaced(endpoint);
-    giveUpAll(endpoint, GiveUpReason::StartedAgain);
+    if (m_replacedObserver)
+        m_replacedObserver(endpoint);
+    abortAttempts(endpoint, GiveUpReason::StartedAgain);
 }
 
 void EndpointTable::noteUnreadable(const std::string& incarnation)
@@ -154,13 +157,13 @@
     logEndpoint("endpoint_unreadable", *found->second);
 }
 
-// Requests that are at the endpoint keep it until they end.
-void EndpointTable::forget(const std::string& incarnation)
+// Requests in flight at the endpoint hold a reference to it until they end.
+void EndpointTable::detach(const std::string& incarnation)
 {
     auto found = m_endpoints.find(incarnation);
     std::shared_ptr<RoutedEndpoint> endpoint = found->second;
     endpoint->isLeaving = true;
-    Endpoints& list = m_ofService[endpoint->record.service];
+    Endpoints& list = m_endpointsByService[endpoint->record.service];
     list.erase(std::remove(list.begin(), list.end(), endpoint), list.end());
     m_endpoints.erase(found);
 }
@@ -176,7 +179,7 @@
             m_removedStarts.clear();
         m_removedStarts[incarnation] = *found->second->record.startedAt;
     }
-    forget(incarnation);
+    detach(incarnation);
 }
 
 void EndpointTable::noteMissing(const std::string& incarnation)
@@ -190,12 +193,12 @@
 
 void EndpointTable::removeMissing(TimePoint now)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> missing;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
         if (endpoint->isMissing)
-            gone.push_back(incarnation);
+            missing.push_back(incarnation);
     }
-    for (const std::string& incarnation : gone)
+    for (const std::string& incarnation : missing)
         remove(incarnation, now);
 }
 
@@ -203,10 +206,10 @@
 {
     for (const auto& [incarnation, endpoint] : m_endpoints) {
         const std::string& zone = endpoint->record.availabilityZone;
-        bool comesBack = m_evacuated.count(zone) > 0 && zones.count(zone) == 0;
+        bool isRestored = m_evacuated.count(zone) > 0 && zones.count(zone) == 0;
         const ServiceSettings* service = routes ? routes->findService(endpoint->record.service) : nullptr;
-        // It had no requests, and may have been restarted meanwhile.
-        if (comesBack && service)
+        // The endpoint had no requests, and may have been restarted in the meantime.
+        if (isRestored && service)
             endpoint->coldUntil = std::max(endpoint->coldUntil, now + service->warmup);
     }
     if (zones != m_evacuated)
@@ -227,32 +230,32 @@
 
 void EndpointTable::noteLeaving(RoutedEndpoint& endpoint, TimePoint now)
 {
-    if (m_leavingStarts.size() >= maxLeavingStarts)
-        absl::erase_if(m_leavingStarts, [now](const auto& start) { return now >= start.second; });
-    if (m_leavingStarts.size() < maxLeavingStarts)
-        m_leavingStarts[startName(endpoint.record)] = now + longestLeave;
+    if (m_leavingStartExpiry.size() >= maxLeavingStarts)
+        absl::erase_if(m_leavingStartExpiry, [now](const auto& start) { return now >= start.second; });
+    if (m_leavingStartExpiry.size() < maxLeavingStarts)
+        m_leavingStartExpiry[startName(endpoint.record)] = now + maxLeaveTime;
     if (!std::exchange(endpoint.isLeaving, true))
         logEndpoint("endpoint_leaving", endpoint);
 }
 
-bool EndpointTable::hasSaidLeaving(const EndpointRecord& record, TimePoint now) const
+bool EndpointTable::hasAnnouncedLeaving(const EndpointRecord& record, TimePoint now) const
 {
-    auto said = m_leavingStarts.find(startName(record));
-    return said != m_leavingStarts.end() && now < said->second;
+    auto announced = m_leavingStartExpiry.find(startName(record));
+    return announced != m_leavingStartExpiry.end() && now < announced->second;
 }
 
 void EndpointTable::notePause(RoutedEndpoint& endpoint, milliseconds pause, TimePoint now)
 {
     if (now >= endpoint.pausedUntil)
         logEndpoint("endpoint_paused", endpoint);
-    endpoint.pausedUntil = std::max(endpoint.pausedUntil, now + std::min(pause, longestPause));
+    endpoint.pausedUntil = std::max(endpoint.pausedUntil, now + std::min(pause, maxPause));
 }
 
 Duration EndpointTable::pauseOf(absl::string_view service, TimePoint now) const
 {
-    auto found = m_ofService.find(service);
+    auto found = m_endpointsByService.find(service);
     std::optional<Duration> shortest;
-    if (found == m_ofService.end())
+    if (found == m_endpointsByService.end())
         return Duration::zero();
     for (const auto& endpoint : found->second) {
         if (endpoint->region != m_region || !isUsable(*endpoint))
@@ -266,60 +269,61 @@
 void EndpointTable::noteBegan(RoutedEndpoint& endpoint, TimePoint now) const
 {
     if (endpoint.inFlight == 0)
-        endpoint.quietSince = now;
+        endpoint.silentSince = now;
     ++endpoint.inFlight;
 }
 
-// A crashed, frozen or cut-off endpoint shows only by its silence.
-bool EndpointTable::isSuspectHere(const RoutedEndpoint& endpoint, TimePoint now)
+// A crashed, paused or partitioned endpoint is detected only by its silence.
+bool EndpointTable::isLocallySuspect(const RoutedEndpoint& endpoint, TimePoint now)
 {
-    bool isSilent = endpoint.inFlight > 0 && now - endpoint.quietSince > longestQuiet;
-    return isSilent || now < endpoint.suspectUntil || failureShareOf(endpoint, now) > worstFailureShare;
+    bool isSilent = endpoint.inFlight > 0 && now - endpoint.silentSince > maxSilence;
+    return isSilent || now < endpoint.suspectUntil || failureShareOf(endpoint, now) > maxFailureShare;
 }
 
-// One entry alone may wait for a long prompt to be read, or have lost its own
-// path; if most that use an endpoint suspect it, it is the endpoint.
+// Silence that a single entry observes may come from a long prefill or from this entry's own
+// network path. If most of the entries that use an endpoint suspect it, the endpoint is at
+// fault.
 bool EndpointTable::isSuspect(const RoutedEndpoint& endpoint, TimePoint now) const
 {
-    bool hasFailedHere = now < endpoint.suspectUntil || failureShareOf(endpoint, now) > worstFailureShare;
-    if (hasFailedHere)
+    bool hasFailedLocally = now < endpoint.suspectUntil || failureShareOf(endpoint, now) > maxFailureShare;
+    if (hasFailedLocally)
         return true;
-    bool isSilentHere = isSuspectHere(endpoint, now);
+    bool isSilentLocally = isLocallySuspect(endpoint, now);
     EndpointWorkload others = m_peerLoads.at(endpoint.hash);
-    std::uint32_t suspicions = others.suspicions + (isSilentHere ? 1 : 0);
+    std::uint32_t suspicions = others.suspicions + (isSilentLocally ? 1 : 0);
     std::uint32_t users = others.users + (endpoint.inFlight > 0 ? 1 : 0);
     return suspicions > 0 && suspicions * 2 > users;
 }
 
-// An engine that reads much before the first event of any of its requests is
-// silent for as long as that takes.
+// An engine that processes long prompts before it sends an event of any request is silent for
+// the duration of the prefill, so the predicted wait is added to the limit.
 void EndpointTable::leaveSilent(TimePoint now)
 {
     std::vector<std::shared_ptr<RoutedEndpoint>> silent;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
-        bool isWaitedFor = !endpoint->giveUps.empty() && now - endpoint->quietSince > longestQuiet + predictWait(answersOf(*endpoint, now), workOf(*endpoint), 0);
-        if (isWaitedFor && isSuspect(*endpoint, now))
+        bool isSilent = !endpoint->giveUps.empty() && now - endpoint->silentSince > maxSilence + predictWait(responseEstimateOf(*endpoint, now), workOf(*endpoint), 0);
+        if (isSilent && isSuspect(*endpoint, now))
             silent.push_back(endpoint);
     }
     for (const auto& endpoint : silent)
-        giveUpAll(*endpoint, GiveUpReason::Silent);
+        abortAttempts(*endpoint, GiveUpReason::Silent);
 }
 
 void EndpointTable::forgiveSilence(TimePoint now)
 {
     for (const auto& [incarnation, endpoint] : m_endpoints)
-        endpoint->quietSince = now;
+        endpoint->silentSince = now;
 }
 
 std::vector<EndpointWorkload> EndpointTable::ownLoads(TimePoint now) const
 {
-    constexpr std::int64_t tokensRounded = 1'000;
+    constexpr std::int64_t tokensPerUnit = 1'000;
     std::vector<EndpointWorkload> loads;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
-        bool isSuspect = isSuspectHere(*endpoint, now);
+        bool isSuspect = isLocallySuspect(*endpoint, now);
         if (endpoint->inFlight == 0 && !isSuspect)
             continue;
-        auto kilotokens = static_cast<std::uint32_t>((endpoint->unreadTokens + tokensRounded / 2) / tokensRounded);
+        auto kilotokens = static_cast<std::uint32_t>((endpoint->unreadTokens + tokensPerUnit / 2) / tokensPerUnit);
         loads.push_back({ endpoint->hash, endpoint->inFlight, kilotokens, isSuspect ? 1u : 0u });
     }
     return loads;
@@ -332,22 +336,22 @@
 
 double EndpointTable::failureShareOf(const RoutedEndpoint& endpoint, TimePoint now)
 {
-    double halves = std::chrono::duration<double>(now - endpoint.failureShareAt) / failureHalfTime;
-    return endpoint.failureShare * std::exp2(-halves);
+    double halfLives = std::chrono::duration<double>(now - endpoint.failureShareUpdatedAt) / failureHalfLife;
+    return endpoint.failureShare * std::exp2(-halfLives);
 }
 
 void EndpointTable::noteEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now)
 {
     --endpoint.inFlight;
-    bool wasSuspect = isSuspectHere(endpoint, now);
+    bool wasSuspect = isLocallySuspect(endpoint, now);
     double share = failureShareOf(endpoint, now);
-    share += isFailure ? failureWeight * (1 - share) : -answerWeight * share;
+    share += isFailure ? failureWeight * (1 - share) : -successWeight * share;
     endpoint.failureShare = share;
-    endpoint.failureShareAt = now;
+    endpoint.failureShareUpdatedAt = now;
     if (isFailure)
-        endpoint.suspectUntil = now + suspicion;
-    bool isNews = share > worstFailureShare && now >= endpoint.nextSuspectLog;
-    if (!isFailure || wasSuspect || !isNews)
+        endpoint.suspectUntil = now + suspectTime;
+    bool shouldLog = share > maxFailureShare && now >= endpoint.nextSuspectLog;
+    if (!isFailure || wasSuspect || !shouldLog)
         return;
     endpoint.nextSuspectLog = now + suspectLogInterval;
     logEndpoint("endpoint_suspect", endpoint);
@@ -356,8 +360,8 @@
 std::map<std::string, std::size_t> EndpointTable::usableByRegion(absl::string_view service, TimePoint now) const
 {
     std::map<std::string, std::size_t> counts;
-    auto found = m_ofService.find(service);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(service);
+    if (found == m_endpointsByService.end())
         return counts;
     for (const auto& endpoint : found->second) {
         if (isOpen(*endpoint, now) && !endpoint->region.empty())
--- a/lib/Ingress/EntryTable.cpp
+++ b/lib/Ingress/EntryTable.cpp
@@ -9,13 +9,14 @@
 
 namespace catkinwing {
 
-/// An entry that stops as planned still takes what comes for this long.
-static constexpr std::chrono::milliseconds stopTime { 2'500 };
-/// An entry that the store turned away is forwarded to for this long, where no
-/// other is left; longer than such troubles usually last.
-static constexpr std::chrono::milliseconds departedKept { 15'000 };
-/// How long an entry that didn't answer a forward is passed over.
-static constexpr std::chrono::milliseconds peerSuspicion { 1'000 };
+/// Time for which an entry that is shutting down still accepts requests after its
+/// registration was removed.
+static constexpr std::chrono::milliseconds shutdownTime { 2'500 };
+/// Time for which requests are still forwarded to an entry whose registration was removed, if
+/// no other entry is left. Longer than outages of the store usually last.
+static constexpr std::chrono::milliseconds departedRetention { 15'000 };
+/// Time for which an entry that did not answer a forwarded request is skipped.
+static constexpr std::chrono::milliseconds peerSuspectTime { 1'000 };
 
 std::string writeEntryRecord(const EntryRecord& record)
 {
@@ -33,7 +34,7 @@
     std::size_t end = text.rfind('}');
     auto json = nlohmann::json::parse(text.substr(0, end == absl::string_view::npos ? 0 : end + 1), nullptr, false);
     if (!json.is_object())
-        return absl::InvalidArgumentError("registration of an entry is not a JSON object");
+        return absl::InvalidArgumentError("entry registration is not a JSON object");
     auto member = [&](const char* name) { return json.contains(name) && json[name].is_string() ? json[name].get<std::string>() : std::string(); };
     absl::StatusOr<SocketAddress> clients = parseSocketAddress(member("clients"));
     absl::StatusOr<SocketAddress> peers = parseSocketAddress(member("peers"));
@@ -58,7 +59,7 @@
     ++m_changes;
 }
 
-// An entry that has started again has two registrations for a while.
+// Counts addresses because a restarted entry has two registrations until its old lease expires.
 std::size_t EntryTable::recentSize(TimePoint now)
 {
     if (m_countedChanges != m_changes) {
@@ -87,8 +88,8 @@
 void EntryTable::remove(const std::string& key, TimePoint now)
 {
     recentSize(now);
-    auto isOver = [now](const Departed& departed) { return now - departed.at > departedKept; };
-    m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isOver), m_departed.end());
+    auto isExpired = [now](const Departed& departed) { return now - departed.at > departedRetention; };
+    m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isExpired), m_departed.end());
     auto found = m_entries.find(key);
     if (found != m_entries.end())
         m_departed.push_back({ found->second.record, now });
@@ -106,12 +107,12 @@
 
 void EntryTable::removeMissing(TimePoint now)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> missing;
     for (const auto& [key, entry] : m_entries) {
         if (entry.isMissing)
-            gone.push_back(key);
+            missing.push_back(key);
     }
-    for (const std::string& key : gone)
+    for (const std::string& key : missing)
         remove(key, now);
 }
 
@@ -145,12 +146,12 @@
     }
     for (const Departed& departed : m_departed) {
         bool isAllowed = departed.record.region == region || contains(homes.regions, departed.record.region);
-        if (isAllowed && !homes.regions.empty() && now - departed.at <= stopTime)
+        if (isAllowed && !homes.regions.empty() && now - departed.at <= shutdownTime)
             addOnce(leaving, departed.record.clients);
     }
-    for (std::vector<SocketAddress>* best : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
-        if (!best->empty())
-            return std::move(*best);
+    for (std::vector<SocketAddress>* group : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
+        if (!group->empty())
+            return std::move(*group);
     }
     if (homes.bindsAll)
         all.clear();
@@ -159,24 +160,24 @@
 
 std::optional<SocketAddress> EntryTable::choosePeer(const std::string& region, TimePoint now, Random& random) const
 {
-    std::vector<SocketAddress> sound;
+    std::vector<SocketAddress> candidates;
     for (const auto& [key, entry] : m_entries) {
         const SocketAddress& peer = entry.record.peers;
         auto suspect = m_suspectUntil.find(peer);
         bool isSuspect = suspect != m_suspectUntil.end() && now < suspect->second;
         if (entry.record.region == region && peer != m_self.peers && !isSuspect)
-            addOnce(sound, peer);
+            addOnce(candidates, peer);
     }
-    if (sound.empty())
+    if (candidates.empty())
         return std::nullopt;
-    return sound[random.below(sound.size())];
+    return candidates[random.below(candidates.size())];
 }
 
 std::optional<SocketAddress> EntryTable::chooseDepartedPeer(const std::string& region, TimePoint now, Random& random) const
 {
     std::vector<SocketAddress> peers;
     for (const Departed& departed : m_departed) {
-        if (departed.record.region == region && now - departed.at <= departedKept)
+        if (departed.record.region == region && now - departed.at <= departedRetention)
             addOnce(peers, departed.record.peers);
     }
     if (peers.empty())
@@ -205,14 +206,14 @@
 
 void EntryTable::notePeerFailure(const SocketAddress& peer, TimePoint now)
 {
-    m_suspectUntil[peer] = now + peerSuspicion;
+    m_suspectUntil[peer] = now + peerSuspectTime;
     auto isPeer = [&peer](const Departed& departed) { return departed.record.peers == peer; };
     m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isPeer), m_departed.end());
     logChange(LogLevel::Warning, "entry_suspect", { { "entry", peer.toString() } });
 }
 
-// An entry that started again stands under its old key as well until the old
-// lease lapses; keys sort by name, and either will do.
+// A restarted entry is also registered under its old key until the old lease expires. The last
+// key in the order of names is returned for such an entry; both keys are suitable.
 std::vector<EntryTable::Peer> EntryTable::entriesOfRegion(const std::string& region) const
 {
     std::map<SocketAddress, Peer> byAddress;
