--- a/unittests/Platform/DocumentsTest.cpp
+++ b/unittests/Platform/DocumentsTest.cpp
@@ -18,7 +18,7 @@
   {"name":"s2","health_path":"/h","max_conns":100,"warmup_s":0.0,"cold_per_s":0.0}],
  "limits":{"max_header_bytes":16384,"max_body_bytes":1000,"header_timeout_ms":3000,"idle_timeout_ms":15000}})";
 
-TEST_CASE("a configuration is read into routes and services")
+TEST_CASE("readRouteTable reads routes, services and limits")
 {
     ConfigResult<RouteTable> table = readRouteTable(configuration);
     REQUIRE(table.ok());
@@ -48,7 +48,7 @@
     CHECK(service->memoryTokens == 354318);
 }
 
-TEST_CASE("a configuration that can't be used is refused with every fault's place")
+TEST_CASE("readRouteTable rejects an invalid configuration and reports the location of every fault")
 {
     ConfigResult<RouteTable> table = readRouteTable(R"({"routes":[{"prefix":"x","service":"s","timeout_ms":1},{"prefix":"/","timeout_ms":0}]})");
     CHECK_FALSE(table.ok());
@@ -60,7 +60,7 @@
     CHECK_FALSE(readRouteTable("[]").ok());
 }
 
-TEST_CASE("a registration of an endpoint is read with its state")
+TEST_CASE("readEndpoint reads the fields and the state of a registration")
 {
     absl::StatusOr<EndpointRecord> record = readEndpoint("i-1", R"({"service":"s","addr":"10.1.2.3:80","zone":"z","version":"v1","slots":64,"state":"draining","warmup_ms":1500,"remaining_ms":900,"seq":4})");
     REQUIRE(record.ok());
@@ -76,7 +76,7 @@
     CHECK_FALSE(readEndpoint("i-1", "{").ok());
 }
 
-TEST_CASE("a registration with a field missing, of another type or with an unknown state names no endpoint")
+TEST_CASE("readEndpoint rejects a registration with a missing field, a field of another type or an unknown state")
 {
     const nlohmann::json whole = { { "service", "s" }, { "addr", "10.1.2.3:80" }, { "zone", "z" }, { "version", "v1" }, { "slots", 64 },
         { "state", "ready" }, { "warmup_ms", 0 }, { "seq", 4 }, { "born", 1'790'000'000'000 } };
@@ -103,7 +103,7 @@
     CHECK_FALSE(readEndpoint("i-1", "\xff\xfe\x00").ok());
 }
 
-TEST_CASE("numbers that no machine could hold count as the most or the least that is sensible")
+TEST_CASE("numbers out of range are clamped to the minimum or the maximum")
 {
     absl::StatusOr<EndpointRecord> record = readEndpoint("i-1", R"({"service":"s","addr":"10.1.2.3:80","zone":"z","version":"v1","state":"ready","seq":1,"slots":1e300,"warmup_ms":-5})");
     REQUIRE(record.ok());
--- a/unittests/Platform/PlatformDialectTest.cpp
+++ b/unittests/Platform/PlatformDialectTest.cpp
@@ -15,7 +15,7 @@
     return request;
 }
 
-TEST_CASE("a request's headers are read into typed facts")
+TEST_CASE("readRequest reads the headers of a request into typed fields")
 {
     Dialect dialect = platformDialect();
     RequestFacts facts = dialect.readRequest(request({ { "host", "a.example" }, { "attempt-id", "9c41" }, { "deadline-ms", "4000" },
@@ -31,7 +31,7 @@
     CHECK(facts.resumeAfter == 12u);
 }
 
-TEST_CASE("what only the system may say, and what concerns one connection, goes no further")
+TEST_CASE("readRequest does not forward hop-by-hop headers and headers reserved for the gateway")
 {
     Dialect dialect = platformDialect();
     RequestFacts facts = dialect.readRequest(request({ { "Host", "h" }, { "Attempt-Id", "1" }, { "Connection", "close, X-Hop" }, { "X-Hop", "1" },
@@ -43,7 +43,7 @@
     CHECK(names == std::vector<std::string> { "Host", "Attempt-Id", "Model", "Length-Hint", "X-Other" });
 }
 
-TEST_CASE("an attempt tells its endpoint who is meant and how much time is left")
+TEST_CASE("writeAttempt sends the expected incarnation and the remaining time")
 {
     Dialect dialect = platformDialect();
     AttemptFacts facts;
@@ -58,7 +58,7 @@
     CHECK_FALSE(headers.find("request-priority"));
 }
 
-TEST_CASE("only a signed answer with a plain body is an endpoint's")
+TEST_CASE("readAnswer takes only a sealed response without content encoding for an endpoint's response")
 {
     Dialect dialect = platformDialect();
     CHECK(dialect.readAnswer({ 200, { { "reply-seal", "x" }, { "attempt-id", "1" } } }).isEndpointAnswer);
@@ -71,7 +71,7 @@
     CHECK(other.wasNotRun);
 }
 
-TEST_CASE("the directory's question and answer")
+TEST_CASE("directory queries are read and directory answers are written")
 {
     Dialect dialect = platformDialect();
     HttpRequest question;
@@ -88,7 +88,7 @@
     CHECK_FALSE(dialect.readDirectoryQuestion(question));
 }
 
-TEST_CASE("what an endpoint says of itself in an answer is read")
+TEST_CASE("readAnswer reads the leaving flag and the retry-after time")
 {
     Dialect dialect = platformDialect();
     AnswerFacts plain = dialect.readAnswer({ 200, { { "Attempt-Id", "1" }, { "Reply-Seal", "s" } } });
--- a/unittests/Platform/PlatformFixture.h
+++ b/unittests/Platform/PlatformFixture.h
@@ -1,4 +1,4 @@
-// The platform's store and endpoints, stood in for over HTTP on one loop.
+// Stand-ins for the platform's store and endpoints, over HTTP on one event loop.
 #pragma once
 
 #include "../Http/HttpFixture.h"
@@ -10,7 +10,7 @@
 
 namespace catkinwing::platform {
 
-/// One loop with a store, and a client of it.
+/// An event loop with a store stand-in and a client of that store.
 class PlatformFixture {
 public:
     explicit PlatformFixture(standin::StoreLimits limits = {})
@@ -29,7 +29,7 @@
     {
         return start([settings](Scheduler& scheduler, standin::ExecutionLog& log) { return makeEndpointStandin(scheduler, log, settings); });
     }
-    /// Sends a request and waits for its end.
+    /// Sends a request and runs the loop until the request has ended.
     std::shared_ptr<Recorded> ask(const SocketAddress& server, const std::string& method, const std::string& target, std::string body = "", HttpHeaders headers = {})
     {
         HttpClientRequest request = requestFor(server, target);
--- a/unittests/Platform/PlatformStoreTest.cpp
+++ b/unittests/Platform/PlatformStoreTest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// A store client whose calls are answered by a function.
+/// A store client whose HTTP requests are answered by a handler function.
 struct StoreWorld {
     explicit StoreWorld(FakeHttpClient::Handler handler) { http.handler = std::move(handler); }
 
@@ -39,7 +39,7 @@
     return answer;
 }
 
-TEST_CASE("a swap's outcome is what the answer proves")
+TEST_CASE("the outcome of a swap follows from the store's response")
 {
     auto outcomeOf = [](const FakeHttpAnswer& answer) {
         StoreWorld world([answer](const HttpClientRequest&) { return answer; });
@@ -54,14 +54,14 @@
     CHECK(outcomeOf(FakeHttpAnswer::failed(HttpEnd::ConnectFailed, false)) == SwapOutcome::NotSent);
 }
 
-TEST_CASE("a write whose answer is lost is sent once")
+TEST_CASE("a write without a response is not sent again")
 {
     StoreWorld world([](const HttpClientRequest&) { return FakeHttpAnswer::failed(HttpEnd::NoResponse, true); });
     world.swap();
     CHECK(world.http.requests.size() == 1);
 }
 
-TEST_CASE("a listing goes through all pages and holds as of the first one")
+TEST_CASE("a listing reads all pages and has the revision of the first page")
 {
     StoreWorld world([](const HttpClientRequest& request) {
         if (absl::StrContains(request.target, "after"))
@@ -76,7 +76,7 @@
     CHECK(listing->revision == 10);
 }
 
-TEST_CASE("a watch goes on from the revision of each answer and ends when history is gone")
+TEST_CASE("a watch continues from the revision of each response and ends when the store no longer has the history")
 {
     int answers = 0;
     StoreWorld world([&](const HttpClientRequest&) {
@@ -98,7 +98,7 @@
     CHECK(absl::StrContains(world.http.requests[1].target, "after=8&"));
 }
 
-TEST_CASE("a watch is answered at once at first, and then as often after news as without")
+TEST_CASE("the first request of a watch does not wait, and later ones are as frequent with changes as without")
 {
     int answers = 0;
     StoreWorld world([&](const HttpClientRequest&) {
@@ -125,7 +125,7 @@
     CHECK(absl::StrContains(world.http.requests[3].target, "wait_ms=1200"));
 }
 
-TEST_CASE("a watch that is dropped asks no more")
+TEST_CASE("a destroyed watch cancels its request and sends no more")
 {
     StoreWorld world([](const HttpClientRequest&) {
         FakeHttpAnswer answer = FakeHttpAnswer::ok(R"({"events":[],"current_rev":8})");
@@ -140,7 +140,7 @@
     CHECK(world.http.exchanges[0]->isCancelled);
 }
 
-TEST_CASE("a lease that has ended is told apart from a store that is away")
+TEST_CASE("keepAlive reports an expired lease as NotFound and an unavailable store as Unavailable")
 {
     StoreWorld gone([](const HttpClientRequest&) { return withStatus(404, ""); });
     StoreWorld away([](const HttpClientRequest&) { return withStatus(503, ""); });
--- a/unittests/Platform/ServedPathTest.cpp
+++ b/unittests/Platform/ServedPathTest.cpp
@@ -1,4 +1,4 @@
-// An entry between callers and the platform's stand-ins, over real HTTP.
+// Runs an entry between clients and the platform's stand-ins, over real HTTP.
 #include "PlatformFixture.h"
 
 #include "catkinwing/Ingress/IngressDaemon.h"
@@ -55,7 +55,8 @@
         REQUIRE(runUntil(platform.loop, [this] { return ask("/often/ready")->head.status == 200; }));
     }
 
-    // Another test may take a port between the choice and the start.
+    // Retries with other ports, because another test may bind a port after it was
+    // chosen and before the entry listens on it.
     void startEntry()
     {
         constexpr int tries = 5;
@@ -100,7 +101,7 @@
         auto counters = platform.ask(endpoints[endpoint]->address(), "GET", "/standin/counters");
         return nlohmann::json::parse(counters->body).at("executions");
     }
-    /// Returns how many requests have come to an endpoint, refused ones included.
+    /// Returns how many requests an endpoint has received, including refused ones.
     std::int64_t arrivals(std::size_t endpoint)
     {
         auto counters = platform.ask(endpoints[endpoint]->address(), "GET", "/standin/counters");
@@ -114,7 +115,7 @@
         platform.store->compareAndDelete(key, platform.get(key).revision, [&](SwapResult swapped) { result = swapped; });
         REQUIRE(runUntil(platform.loop, [&] { return result.has_value(); }));
     }
-    /// Lets the entry learn what has changed in the store.
+    /// Runs the loop until the entry has received the latest changes of the store.
     void settle()
     {
         TimePoint began = platform.clock.now();
@@ -129,7 +130,7 @@
 
 } // namespace
 
-TEST_CASE("a request comes back with the endpoint's answer and signature")
+TEST_CASE("a request returns the endpoint's response and its seal")
 {
     ServedPath path;
     auto answer = path.ask("/once/order", "attempt-9");
@@ -140,7 +141,7 @@
     CHECK(path.ask("/unknown/x")->head.status == 404);
 }
 
-TEST_CASE("what must not be repeated runs once though its answer is lost")
+TEST_CASE("a non-idempotent request is executed once when its response is lost")
 {
     ServedPath path;
     for (std::size_t endpoint : { 0, 1 })
@@ -152,7 +153,7 @@
     CHECK(path.executions(0) + path.executions(1) == before + 1);
 }
 
-TEST_CASE("what may be repeated gets its answer from the other endpoint")
+TEST_CASE("an idempotent request is retried on the other endpoint when its response is lost")
 {
     ServedPath path;
     path.setFaults(0, { { "loseAnswer", true } });
@@ -160,7 +161,7 @@
         CHECK(path.ask("/often/read")->head.status == 200);
 }
 
-TEST_CASE("a refusal as not executed lets even what must not be repeated run elsewhere")
+TEST_CASE("a non-idempotent request that an endpoint refused as not executed runs on the other endpoint")
 {
     ServedPath path;
     path.setFaults(0, { { "refuse", true } });
@@ -168,7 +169,7 @@
         CHECK(path.ask("/once/order")->head.status == 200);
 }
 
-TEST_CASE("a stream that breaks goes on at the other endpoint without a gap or a repeat")
+TEST_CASE("an interrupted stream resumes on the other endpoint without lost or duplicate events")
 {
     ServedPath path;
     std::string whole = path.ask("/stream/read")->body;
@@ -180,7 +181,7 @@
     }
 }
 
-TEST_CASE("an address that another incarnation has taken gets nothing that was meant for the first")
+TEST_CASE("another incarnation at a reused address executes no request meant for the previous one")
 {
     ServedPath path;
     SocketAddress reused = path.endpoints[0]->address();
@@ -195,7 +196,7 @@
     }
 }
 
-TEST_CASE("an entry serves on while the store is away")
+TEST_CASE("an entry continues to serve requests while the store is unavailable")
 {
     ServedPath path;
     path.platform.setFaults(*path.platform.storeServer, { { "down", true } });
@@ -203,7 +204,7 @@
         CHECK(path.ask("/once/order")->head.status == 200);
 }
 
-TEST_CASE("an endpoint that drained and starts again under its name is used again")
+TEST_CASE("an endpoint that drained and restarted under the same name receives requests again")
 {
     ServedPath path;
     nlohmann::json plain = path.registration("plain", 0);
@@ -221,7 +222,7 @@
     CHECK(runUntil(path.platform.loop, [&] { return answeredBy("plain-1"); }));
 }
 
-TEST_CASE("entries of other writers name no endpoint and leave the others in use")
+TEST_CASE("malformed registrations are ignored and do not affect other endpoints")
 {
     ServedPath path;
     path.platform.swap("servers/stranger", 0, R"({"service":"plain","addr":7})");
@@ -240,9 +241,9 @@
     CHECK(runUntil(path.platform.loop, [&] { return nlohmann::json::parse(path.ask("/once/order")->body).at("endpoint") == "plain-1"; }));
 }
 
-// Guards against sending to an endpoint that has said in an answer that it leaves,
-// while the store hasn't said so.
-TEST_CASE("an endpoint that says in an answer that it leaves gets nothing more, whatever is registered")
+// Guards against requests to an endpoint that has announced in a response that it is
+// leaving, while its registration in the store still says that it is ready.
+TEST_CASE("an endpoint that announces in a response that it is leaving receives no more requests, whatever its registration says")
 {
     ServedPath path;
     path.add("plain", "plain-3", 0, true);
@@ -250,7 +251,7 @@
     for (int number = 0; number < 40; ++number)
         CHECK(path.ask("/once/order")->head.status == 200);
     CHECK(path.executions(4) == 1);
-    // Its registration lapses and comes back as it was.
+    // The registration is removed and written again unchanged.
     std::string key = "servers/plain-3";
     std::string registered = path.platform.get(key).value;
     path.remove(key);
@@ -262,8 +263,8 @@
     CHECK(path.executions(4) == 1);
 }
 
-// Guards against requests to an endpoint that has asked for none for a while.
-TEST_CASE("an endpoint that refuses with a time to wait gets nothing until then")
+// Guards against requests to an endpoint before the retry-after time of its refusal.
+TEST_CASE("an endpoint that refuses with a retry-after time receives no requests before that time")
 {
     ServedPath path;
     path.setFaults(0, { { "refuse", true } });
@@ -271,7 +272,8 @@
     TimePoint began = path.platform.clock.now();
     for (int number = 0; number < 40; ++number)
         CHECK(path.ask("/once/order")->head.status == 200);
-    // The stand-in asks for a second; each further one brings one more at the most.
+    // The stand-in sends a retry-after time of one second, so each further second
+    // allows at most one more request.
     std::int64_t seconds = std::chrono::duration_cast<std::chrono::seconds>(path.platform.clock.now() - began).count();
     CHECK(path.arrivals(0) <= before + 1 + seconds);
     path.setFaults(0, nlohmann::json::object());
--- a/unittests/Platform/StoreMessagesTest.cpp
+++ b/unittests/Platform/StoreMessagesTest.cpp
@@ -6,7 +6,7 @@
 using namespace catkinwing::platform;
 using namespace std::chrono_literals;
 
-TEST_CASE("keys are escaped in queries")
+TEST_CASE("keys are percent-encoded in request targets")
 {
     CHECK(getTarget("a/b c&d=é") == "/kv-key?key=a/b%20c%26d%3d%c3%a9");
     CHECK(rangeTarget("p/", "") == "/kv-range?prefix=p/");
@@ -14,13 +14,13 @@
     CHECK(watchTarget("", 411, 2500ms) == "/kv-watch?prefix=&after=411&wait_ms=2500");
 }
 
-TEST_CASE("a swap names the revision that it expects")
+TEST_CASE("the bodies of swaps and deletions contain the expected revision")
 {
     CHECK(swapBody("k", 0, "node-1", 7) == R"({"deletes":[],"expect":[{"key":"k","revision":0}],"puts":[{"key":"k","lease":7,"value":"bm9kZS0x"}]})");
     CHECK(deleteBody("k", 3) == R"({"deletes":["k"],"expect":[{"key":"k","revision":3}],"puts":[]})");
 }
 
-TEST_CASE("answers of the store are read into the product's types")
+TEST_CASE("responses of the store are parsed into typed values")
 {
     absl::StatusOr<StoredValue> item = readItem(R"({"key":"k","value":"bm9kZS0x","revision":412,"created_rev":400,"lease":1,"current_rev":530})");
     REQUIRE(item.ok());
@@ -39,7 +39,7 @@
     CHECK(readLease(R"({"ttl_ms":3000})")->timeToLive == 3s);
 }
 
-TEST_CASE("an answer that doesn't follow the protocol is a failure, not an empty answer")
+TEST_CASE("a response that does not follow the protocol is an error, not an empty result")
 {
     for (const char* body : { "", "null", "[]", "{}", "{\"items\":5}", "{\"items\":[5],\"current_rev\":1}", "{\"events\":[],\"current_rev\":\"1\"}", R"({"items":[{"key":"k","value":"%","revision":1}],"current_rev":1})", R"({"events":[{"deleted":true}],"current_rev":1})", R"({"items":[],"truncated":"no","revision":1e300,"ttl_ms":-1e300})", R"({"events":[{"deleted":"x"}],"current_rev":1})" }) {
         CAPTURE(body);
--- a/unittests/Platform/StoreStandinTest.cpp
+++ b/unittests/Platform/StoreStandinTest.cpp
@@ -1,4 +1,4 @@
-// The client of the platform's store against the stand-in, over real HTTP.
+// Tests the client of the platform's store against the stand-in, over real HTTP.
 #include "catkinwing/PlatformStandin/StoreStandin.h"
 
 #include "PlatformFixture.h"
@@ -7,7 +7,7 @@
 using namespace catkinwing::platform;
 using namespace std::chrono_literals;
 
-TEST_CASE("of two swaps from one revision the first takes effect")
+TEST_CASE("only the first of two swaps from the same revision is committed")
 {
     PlatformFixture platform;
     SwapResult made = platform.swap("a", 0, "first");
@@ -17,7 +17,7 @@
     CHECK(platform.get("a").value == "third");
 }
 
-TEST_CASE("a write that the store refuses wasn't sent, and one whose answer is lost may be done")
+TEST_CASE("a refused write is reported as not sent, and a write whose response is lost as unknown")
 {
     PlatformFixture platform;
     platform.setFaults(*platform.storeServer, { { "refuse", { { "times", 1 } } } });
@@ -27,7 +27,7 @@
     CHECK(platform.get("a").value == "lost");
 }
 
-TEST_CASE("a key goes with its lease, and a watch tells of both changes")
+TEST_CASE("a key is deleted when its lease expires, and a watch reports the write and the deletion")
 {
     PlatformFixture platform;
     std::optional<StoreLease> lease;
@@ -42,7 +42,7 @@
     CHECK(platform.swap("entries/one", 0, "late", *lease).outcome == SwapOutcome::NotSent);
 }
 
-TEST_CASE("a watch from a revision that the store has forgotten ends as out of range")
+TEST_CASE("a watch from a revision that the store no longer keeps ends with OutOfRange")
 {
     standin::StoreLimits limits;
     limits.maxHistory = 2;
@@ -55,7 +55,7 @@
     CHECK(absl::IsOutOfRange(*end));
 }
 
-TEST_CASE("a listing of several pages holds every key once")
+TEST_CASE("a listing of several pages contains every key once")
 {
     PlatformFixture platform;
     for (int number = 0; number < 120; ++number)
@@ -67,7 +67,7 @@
     CHECK(listing->values.size() == 120);
 }
 
-TEST_CASE("the store answers what isn't one of its calls and goes on")
+TEST_CASE("the store stand-in rejects invalid requests and continues to serve")
 {
     PlatformFixture platform;
     SocketAddress address = platform.storeServer->address();
