--- a/unittests/Platform/DocumentsTest.cpp
+++ b/unittests/Platform/DocumentsTest.cpp
@@ -52,10 +52,10 @@
 {
     ConfigResult<RouteTable> table = readRouteTable(R"({"routes":[{"prefix":"x","service":"s","timeout_ms":1},{"prefix":"/","timeout_ms":0}]})");
     CHECK_FALSE(table.ok());
-    std::vector<std::string> places;
+    std::vector<std::string> pointers;
     for (const ConfigFault& fault : table.faults)
-        places.push_back(fault.pointer);
-    CHECK(places == std::vector<std::string> { "/routes/0/prefix", "/routes/1/timeout_ms", "/routes/1/service", "/version" });
+        pointers.push_back(fault.pointer);
+    CHECK(pointers == std::vector<std::string> { "/routes/0/prefix", "/routes/1/timeout_ms", "/routes/1/service", "/version" });
     CHECK_FALSE(readRouteTable("nonsense").ok());
     CHECK_FALSE(readRouteTable("[]").ok());
 }
@@ -78,28 +78,28 @@
 
 TEST_CASE("readEndpoint rejects a registration with a missing field, a field of another type or an unknown state")
 {
-    const nlohmann::json whole = { { "service", "s" }, { "addr", "10.1.2.3:80" }, { "zone", "z" }, { "version", "v1" }, { "slots", 64 },
+    const nlohmann::json valid = { { "service", "s" }, { "addr", "10.1.2.3:80" }, { "zone", "z" }, { "version", "v1" }, { "slots", 64 },
         { "state", "ready" }, { "warmup_ms", 0 }, { "seq", 4 }, { "born", 1'790'000'000'000 } };
-    absl::StatusOr<EndpointRecord> record = readEndpoint("i-1", whole.dump());
+    absl::StatusOr<EndpointRecord> record = readEndpoint("i-1", valid.dump());
     REQUIRE(record.ok());
     CHECK(record->startedAt == 1'790'000'000'000ms);
     for (const char* field : { "service", "addr", "zone", "version", "slots", "state", "warmup_ms", "seq" }) {
         CAPTURE(field);
-        nlohmann::json without = whole;
-        without.erase(field);
-        CHECK_FALSE(readEndpoint("i-1", without.dump()).ok());
+        nlohmann::json incomplete = valid;
+        incomplete.erase(field);
+        CHECK_FALSE(readEndpoint("i-1", incomplete.dump()).ok());
     }
     for (const char* field : { "service", "addr", "zone", "version", "slots", "state", "warmup_ms", "seq", "born" }) {
         CAPTURE(field);
-        nlohmann::json other = whole;
-        other[field] = nlohmann::json::array({ 1 });
-        CHECK_FALSE(readEndpoint("i-1", other.dump()).ok());
-        other[field] = nullptr;
-        CHECK(readEndpoint("i-1", other.dump()).ok() == (std::string(field) == "born"));
+        nlohmann::json changed = valid;
+        changed[field] = nlohmann::json::array({ 1 });
+        CHECK_FALSE(readEndpoint("i-1", changed.dump()).ok());
+        changed[field] = nullptr;
+        CHECK(readEndpoint("i-1", changed.dump()).ok() == (std::string(field) == "born"));
     }
-    nlohmann::json state = whole;
-    state["state"] = "resting";
-    CHECK_FALSE(readEndpoint("i-1", state.dump()).ok());
+    nlohmann::json unknownState = valid;
+    unknownState["state"] = "resting";
+    CHECK_FALSE(readEndpoint("i-1", unknownState.dump()).ok());
     CHECK_FALSE(readEndpoint("i-1", "\xff\xfe\x00").ok());
 }
 
--- a/unittests/Platform/PlatformFixture.h
+++ b/unittests/Platform/PlatformFixture.h
@@ -14,12 +14,12 @@
 class PlatformFixture {
 public:
     explicit PlatformFixture(standin::StoreLimits limits = {})
-        : storeServer(start([limits](Scheduler& scheduler, standin::ExecutionLog& log) { return makeStoreStandin(scheduler, log, limits); }))
+        : storeServer(startStandin([limits](Scheduler& scheduler, standin::ExecutionLog& log) { return makeStoreStandin(scheduler, log, limits); }))
         , store(std::make_unique<PlatformStore>(*client, loop, std::vector<SocketAddress> { storeServer->address() }, [](const char*) {}))
     {
     }
 
-    std::unique_ptr<standin::StandinServer> start(const standin::ServiceFactory& makeService)
+    std::unique_ptr<standin::StandinServer> startStandin(const standin::ServiceFactory& makeService)
     {
         auto server = standin::StandinServer::start(loop, { "test", { "127.0.0.1", 0 }, "", 1 }, makeService);
         REQUIRE(server.ok());
@@ -27,10 +27,10 @@
     }
     std::unique_ptr<standin::StandinServer> startEndpoint(const EndpointStandinSettings& settings)
     {
-        return start([settings](Scheduler& scheduler, standin::ExecutionLog& log) { return makeEndpointStandin(scheduler, log, settings); });
+        return startStandin([settings](Scheduler& scheduler, standin::ExecutionLog& log) { return makeEndpointStandin(scheduler, log, settings); });
     }
     /// Sends a request and runs the loop until the request has ended.
-    std::shared_ptr<Recorded> ask(const SocketAddress& server, const std::string& method, const std::string& target, std::string body = "", HttpHeaders headers = {})
+    std::shared_ptr<Recorded> sendAndWait(const SocketAddress& server, const std::string& method, const std::string& target, std::string body = "", HttpHeaders headers = {})
     {
         HttpClientRequest request = requestFor(server, target);
         request.method = method;
@@ -42,7 +42,7 @@
     }
     void setFaults(standin::StandinServer& server, const nlohmann::json& faults)
     {
-        REQUIRE(ask(server.address(), "PUT", "/standin/faults", faults.dump())->head.status == 200);
+        REQUIRE(sendAndWait(server.address(), "PUT", "/standin/faults", faults.dump())->head.status == 200);
     }
     SwapResult swap(const std::string& key, StoreRevision expected, const std::string& value, StoreLease lease = 0)
     {
--- a/unittests/Platform/PlatformStoreTest.cpp
+++ b/unittests/Platform/PlatformStoreTest.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 /// A store client whose HTTP requests are answered by a handler function.
-struct StoreWorld {
-    explicit StoreWorld(FakeHttpClient::Handler handler) { http.handler = std::move(handler); }
+struct StoreClientFixture {
+    explicit StoreClientFixture(FakeHttpClient::Handler handler) { http.handler = std::move(handler); }
 
     SwapResult swap()
     {
@@ -42,8 +42,8 @@
 TEST_CASE("the outcome of a swap follows from the store's response")
 {
     auto outcomeOf = [](const FakeHttpAnswer& answer) {
-        StoreWorld world([answer](const HttpClientRequest&) { return answer; });
-        return world.swap().outcome;
+        StoreClientFixture fixture([answer](const HttpClientRequest&) { return answer; });
+        return fixture.swap().outcome;
     };
     CHECK(outcomeOf(withStatus(200, R"({"revision":9})")) == SwapOutcome::Committed);
     CHECK(outcomeOf(withStatus(412, R"({"items":[]})")) == SwapOutcome::Conflict);
@@ -56,21 +56,21 @@
 
 TEST_CASE("a write without a response is not sent again")
 {
-    StoreWorld world([](const HttpClientRequest&) { return FakeHttpAnswer::failed(HttpEnd::NoResponse, true); });
-    world.swap();
-    CHECK(world.http.requests.size() == 1);
+    StoreClientFixture fixture([](const HttpClientRequest&) { return FakeHttpAnswer::failed(HttpEnd::NoResponse, true); });
+    fixture.swap();
+    CHECK(fixture.http.requests.size() == 1);
 }
 
 TEST_CASE("a listing reads all pages and has the revision of the first page")
 {
-    StoreWorld world([](const HttpClientRequest& request) {
+    StoreClientFixture fixture([](const HttpClientRequest& request) {
         if (absl::StrContains(request.target, "after"))
             return FakeHttpAnswer::ok(R"({"items":[{"key":"p/2","value":"","revision":12}],"truncated":false,"current_rev":14})");
         return FakeHttpAnswer::ok(R"({"items":[{"key":"p/1","value":"","revision":8}],"truncated":true,"current_rev":10})");
     });
     std::optional<StoreListing> listing;
-    world.store.list("p/", [&](absl::StatusOr<StoreListing> listed) { listing = *listed; });
-    world.scheduler.advance(1s);
+    fixture.store.list("p/", [&](absl::StatusOr<StoreListing> listed) { listing = *listed; });
+    fixture.scheduler.advance(1s);
     REQUIRE(listing);
     CHECK(listing->values.size() == 2);
     CHECK(listing->revision == 10);
@@ -79,7 +79,7 @@
 TEST_CASE("a watch continues from the revision of each response and ends when the store no longer has the history")
 {
     int answers = 0;
-    StoreWorld world([&](const HttpClientRequest&) {
+    StoreClientFixture fixture([&](const HttpClientRequest&) {
         ++answers;
         FakeHttpAnswer answer = answers == 1 ? FakeHttpAnswer::ok(R"({"events":[{"key":"a","value":"","revision":6}],"current_rev":8})")
             : answers == 2                   ? FakeHttpAnswer::ok(R"({"events":[],"current_rev":8})")
@@ -89,19 +89,19 @@
     });
     int events = 0;
     absl::Status end;
-    auto watch = world.store.watch("", 5, { [&](const std::vector<StoreEvent>& news) { events += static_cast<int>(news.size()); }, [&](const absl::Status& status) { end = status; } });
-    world.scheduler.advance(5s);
+    auto watch = fixture.store.watch("", 5, { [&](const std::vector<StoreEvent>& changes) { events += static_cast<int>(changes.size()); }, [&](const absl::Status& status) { end = status; } });
+    fixture.scheduler.advance(5s);
     CHECK(events == 1);
     CHECK(absl::IsOutOfRange(end));
-    REQUIRE(world.http.requests.size() == 3);
-    CHECK(absl::StrContains(world.http.requests[0].target, "after=4&"));
-    CHECK(absl::StrContains(world.http.requests[1].target, "after=8&"));
+    REQUIRE(fixture.http.requests.size() == 3);
+    CHECK(absl::StrContains(fixture.http.requests[0].target, "after=4&"));
+    CHECK(absl::StrContains(fixture.http.requests[1].target, "after=8&"));
 }
 
 TEST_CASE("the first request of a watch does not wait, and later ones are as frequent with changes as without")
 {
     int answers = 0;
-    StoreWorld world([&](const HttpClientRequest&) {
+    StoreClientFixture fixture([&](const HttpClientRequest&) {
         ++answers;
         FakeHttpAnswer answer = answers == 2 ? FakeHttpAnswer::ok(R"({"events":[{"key":"a","value":"","revision":6}],"current_rev":8})")
                                              : FakeHttpAnswer::ok(R"({"events":[],"current_rev":8})");
@@ -113,43 +113,43 @@
     callbacks.onEvents = [](const std::vector<StoreEvent>&) {};
     callbacks.onEnd = [](const absl::Status&) {};
     callbacks.onCurrent = [&] { ++confirmations; };
-    auto watch = world.store.watch("", 5, std::move(callbacks));
+    auto watch = fixture.store.watch("", 5, std::move(callbacks));
     while (answers < 4)
-        world.scheduler.advance(5ms);
+        fixture.scheduler.advance(5ms);
     watch.reset();
     CHECK(confirmations == 3);
-    CHECK(absl::StrContains(world.http.requests[0].target, "wait_ms=0"));
-    CHECK(world.http.requests[0].headTimeout == 1'000ms);
-    CHECK(absl::StrContains(world.http.requests[1].target, "wait_ms=1200"));
-    CHECK(absl::StrContains(world.http.requests[2].target, "wait_ms=1000"));
-    CHECK(absl::StrContains(world.http.requests[3].target, "wait_ms=1200"));
+    CHECK(absl::StrContains(fixture.http.requests[0].target, "wait_ms=0"));
+    CHECK(fixture.http.requests[0].headTimeout == 1'000ms);
+    CHECK(absl::StrContains(fixture.http.requests[1].target, "wait_ms=1200"));
+    CHECK(absl::StrContains(fixture.http.requests[2].target, "wait_ms=1000"));
+    CHECK(absl::StrContains(fixture.http.requests[3].target, "wait_ms=1200"));
 }
 
 TEST_CASE("a destroyed watch cancels its request and sends no more")
 {
-    StoreWorld world([](const HttpClientRequest&) {
+    StoreClientFixture fixture([](const HttpClientRequest&) {
         FakeHttpAnswer answer = FakeHttpAnswer::ok(R"({"events":[],"current_rev":8})");
         answer.delay = 100ms;
         return answer;
     });
-    auto watch = world.store.watch("", 5, {});
-    world.scheduler.advance(50ms);
+    auto watch = fixture.store.watch("", 5, {});
+    fixture.scheduler.advance(50ms);
     watch.reset();
-    world.scheduler.advance(5s);
-    CHECK(world.http.requests.size() == 1);
-    CHECK(world.http.exchanges[0]->isCancelled);
+    fixture.scheduler.advance(5s);
+    CHECK(fixture.http.requests.size() == 1);
+    CHECK(fixture.http.exchanges[0]->isCancelled);
 }
 
 TEST_CASE("keepAlive reports an expired lease as NotFound and an unavailable store as Unavailable")
 {
-    StoreWorld gone([](const HttpClientRequest&) { return withStatus(404, ""); });
-    StoreWorld away([](const HttpClientRequest&) { return withStatus(503, ""); });
+    StoreClientFixture expired([](const HttpClientRequest&) { return withStatus(404, ""); });
+    StoreClientFixture unavailable([](const HttpClientRequest&) { return withStatus(503, ""); });
     absl::Status first;
     absl::Status second;
-    gone.store.keepAlive(7, [&](const absl::StatusOr<std::chrono::milliseconds>& left) { first = left.status(); });
-    away.store.keepAlive(7, [&](const absl::StatusOr<std::chrono::milliseconds>& left) { second = left.status(); });
-    gone.scheduler.advance(1s);
-    away.scheduler.advance(1s);
+    expired.store.keepAlive(7, [&](const absl::StatusOr<std::chrono::milliseconds>& remaining) { first = remaining.status(); });
+    unavailable.store.keepAlive(7, [&](const absl::StatusOr<std::chrono::milliseconds>& remaining) { second = remaining.status(); });
+    expired.scheduler.advance(1s);
+    unavailable.scheduler.advance(1s);
     CHECK(absl::IsNotFound(first));
     CHECK(absl::IsUnavailable(second));
 }
--- a/unittests/Platform/ServedPathTest.cpp
+++ b/unittests/Platform/ServedPathTest.cpp
@@ -36,15 +36,15 @@
 namespace {
 
 /// An entry with two endpoints of each service.
-class ServedPath {
+class EntryFixture {
 public:
-    ServedPath()
+    EntryFixture()
     {
         platform.swap("op/config", 0, configuration());
         for (const char* name : { "plain-1", "plain-2" })
-            add("plain", name, 0);
+            addEndpoint("plain", name, 0);
         for (const char* name : { "model-1", "model-2" })
-            add("model", name, 5);
+            addEndpoint("model", name, 5);
         settings.name = "entry";
         settings.region = "north";
         settings.availabilityZone = "north-a";
@@ -52,16 +52,16 @@
         settings.ingress.emplace();
         settings.ingress->regionOfZone = { { "north-a", "north" } };
         startEntry();
-        REQUIRE(runUntil(platform.loop, [this] { return ask("/often/ready")->head.status == 200; }));
+        REQUIRE(runUntil(platform.loop, [this] { return sendAndWait("/often/ready")->head.status == 200; }));
     }
 
     // Retries with other ports, because another test may bind a port after it was
     // chosen and before the entry listens on it.
     void startEntry()
     {
-        constexpr int tries = 5;
+        constexpr int maxAttempts = 5;
         absl::Status status = absl::UnavailableError("Address already in use");
-        for (int i = 0; i < tries && absl::StrContains(status.message(), "already in use"); ++i) {
+        for (int i = 0; i < maxAttempts && absl::StrContains(status.message(), "already in use"); ++i) {
             chooseAddresses();
             auto started = IngressDaemon::start(platform.loop, settings, Random(1), platformDialect(), makeStore);
             status = started.status();
@@ -77,7 +77,7 @@
             *address = freeAddress(platform.loop);
         settings.advertise = settings.listen;
     }
-    void add(const std::string& service, const std::string& incarnation, unsigned events, bool isLeaving = false)
+    void addEndpoint(const std::string& service, const std::string& incarnation, unsigned events, bool isLeaving = false)
     {
         endpoints.push_back(platform.startEndpoint({ incarnation, 0ms, events, 1ms, isLeaving }));
         platform.swap("servers/" + incarnation, 0, registration(service, endpoints.size() - 1).dump());
@@ -87,36 +87,37 @@
         return { { "service", service }, { "addr", endpoints[endpoint]->address().toString() }, { "zone", "north-a" }, { "version", "v1" }, { "slots", 8 }, { "state", "ready" }, { "warmup_ms", 0 }, { "seq", 1 } };
     }
     /// Writes \p text as the registration of an endpoint.
-    void rewrite(const std::string& incarnation, const std::string& text)
+    void rewriteRegistration(const std::string& incarnation, const std::string& text)
     {
         std::string key = "servers/" + incarnation;
         platform.swap(key, platform.get(key).revision, text);
     }
-    std::shared_ptr<Recorded> ask(const std::string& target, const std::string& attempt = "a-1")
+    std::shared_ptr<Recorded> sendAndWait(const std::string& target, const std::string& attempt = "a-1")
     {
-        return platform.ask(settings.listen.callers, "POST", target, "body", { { "Host", "path.example" }, { "Attempt-Id", attempt } });
+        return platform.sendAndWait(settings.listen.callers, "POST", target, "body", { { "Host", "path.example" }, { "Attempt-Id", attempt } });
     }
     std::int64_t executions(std::size_t endpoint)
     {
-        auto counters = platform.ask(endpoints[endpoint]->address(), "GET", "/standin/counters");
+        auto counters = platform.sendAndWait(endpoints[endpoint]->address(), "GET", "/standin/counters");
         return nlohmann::json::parse(counters->body).at("executions");
     }
     /// Returns how many requests an endpoint has received, including refused ones.
-    std::int64_t arrivals(std::size_t endpoint)
+    std::int64_t receivedRequests(std::size_t endpoint)
     {
-        auto counters = platform.ask(endpoints[endpoint]->address(), "GET", "/standin/counters");
+        auto counters = platform.sendAndWait(endpoints[endpoint]->address(), "GET", "/standin/counters");
         return nlohmann::json::parse(counters->body).at("total");
     }
     void setFaults(std::size_t endpoint, const nlohmann::json& faults) { platform.setFaults(*endpoints[endpoint], faults); }
 
-    void remove(const std::string& key)
+    void removeKey(const std::string& key)
     {
         std::optional<SwapResult> result;
         platform.store->compareAndDelete(key, platform.get(key).revision, [&](SwapResult swapped) { result = swapped; });
         REQUIRE(runUntil(platform.loop, [&] { return result.has_value(); }));
     }
-    /// Runs the loop until the entry has received the latest changes of the store.
-    void settle()
+    /// Runs the loop for 300 ms, in which the entry receives the latest changes of the
+    /// store.
+    void waitForStoreChanges()
     {
         TimePoint began = platform.clock.now();
         runUntil(platform.loop, [&] { return platform.clock.now() - began > 300ms; });
@@ -132,50 +133,50 @@
 
 TEST_CASE("a request returns the endpoint's response and its seal")
 {
-    ServedPath path;
-    auto answer = path.ask("/once/order", "attempt-9");
+    EntryFixture fixture;
+    auto answer = fixture.sendAndWait("/once/order", "attempt-9");
     CHECK(answer->head.status == 200);
     REQUIRE(answer->head.headers.find("Reply-Seal"));
     CHECK(absl::StartsWith(*answer->head.headers.find("Reply-Seal"), "attempt-9.plain-"));
     CHECK(nlohmann::json::parse(answer->body).at("path") == "/once/order");
-    CHECK(path.ask("/unknown/x")->head.status == 404);
+    CHECK(fixture.sendAndWait("/unknown/x")->head.status == 404);
 }
 
 TEST_CASE("a non-idempotent request is executed once when its response is lost")
 {
-    ServedPath path;
+    EntryFixture fixture;
     for (std::size_t endpoint : { 0, 1 })
-        path.setFaults(endpoint, { { "loseAnswer", true } });
-    std::int64_t before = path.executions(0) + path.executions(1);
-    auto answer = path.ask("/once/order");
+        fixture.setFaults(endpoint, { { "loseAnswer", true } });
+    std::int64_t before = fixture.executions(0) + fixture.executions(1);
+    auto answer = fixture.sendAndWait("/once/order");
     CHECK(answer->head.status >= 500);
     CHECK_FALSE(answer->head.headers.find("Not-Executed"));
-    CHECK(path.executions(0) + path.executions(1) == before + 1);
+    CHECK(fixture.executions(0) + fixture.executions(1) == before + 1);
 }
 
 TEST_CASE("an idempotent request is retried on the other endpoint when its response is lost")
 {
-    ServedPath path;
-    path.setFaults(0, { { "loseAnswer", true } });
+    EntryFixture fixture;
+    fixture.setFaults(0, { { "loseAnswer", true } });
     for (int number = 0; number < 6; ++number)
-        CHECK(path.ask("/often/read")->head.status == 200);
+        CHECK(fixture.sendAndWait("/often/read")->head.status == 200);
 }
 
 TEST_CASE("a non-idempotent request that an endpoint refused as not executed runs on the other endpoint")
 {
-    ServedPath path;
-    path.setFaults(0, { { "refuse", true } });
+    EntryFixture fixture;
+    fixture.setFaults(0, { { "refuse", true } });
     for (int number = 0; number < 6; ++number)
-        CHECK(path.ask("/once/order")->head.status == 200);
+        CHECK(fixture.sendAndWait("/once/order")->head.status == 200);
 }
 
 TEST_CASE("an interrupted stream resumes on the other endpoint without lost or duplicate events")
 {
-    ServedPath path;
-    std::string whole = path.ask("/stream/read")->body;
-    path.setFaults(2, { { "cutAfterEvents", 2 } });
+    EntryFixture fixture;
+    std::string whole = fixture.sendAndWait("/stream/read")->body;
+    fixture.setFaults(2, { { "cutAfterEvents", 2 } });
     for (int number = 0; number < 6; ++number) {
-        auto answer = path.ask("/stream/read");
+        auto answer = fixture.sendAndWait("/stream/read");
         CHECK(answer->result.end == HttpEnd::Complete);
         CHECK(answer->body == whole);
     }
@@ -183,14 +184,14 @@
 
 TEST_CASE("another incarnation at a reused address executes no request meant for the previous one")
 {
-    ServedPath path;
-    SocketAddress reused = path.endpoints[0]->address();
-    path.endpoints[0].reset();
-    auto taker = standin::StandinServer::start(path.platform.loop, { "taker", reused, "", 1 },
+    EntryFixture fixture;
+    SocketAddress reused = fixture.endpoints[0]->address();
+    fixture.endpoints[0].reset();
+    auto successor = standin::StandinServer::start(fixture.platform.loop, { "taker", reused, "", 1 },
         [](Scheduler& scheduler, standin::ExecutionLog& log) { return makeEndpointStandin(scheduler, log, { "taker", 0ms, 0, 0ms }); });
-    REQUIRE(taker.ok());
+    REQUIRE(successor.ok());
     for (int number = 0; number < 6; ++number) {
-        auto answer = path.ask("/once/order");
+        auto answer = fixture.sendAndWait("/once/order");
         CHECK(answer->head.status == 200);
         CHECK(nlohmann::json::parse(answer->body).at("endpoint") == "plain-2");
     }
@@ -198,84 +199,84 @@
 
 TEST_CASE("an entry continues to serve requests while the store is unavailable")
 {
-    ServedPath path;
-    path.platform.setFaults(*path.platform.storeServer, { { "down", true } });
+    EntryFixture fixture;
+    fixture.platform.setFaults(*fixture.platform.storeServer, { { "down", true } });
     for (int number = 0; number < 3; ++number)
-        CHECK(path.ask("/once/order")->head.status == 200);
+        CHECK(fixture.sendAndWait("/once/order")->head.status == 200);
 }
 
 TEST_CASE("an endpoint that drained and restarted under the same name receives requests again")
 {
-    ServedPath path;
-    nlohmann::json plain = path.registration("plain", 0);
+    EntryFixture fixture;
+    nlohmann::json plain = fixture.registration("plain", 0);
     plain["born"] = 1'000;
-    path.rewrite("plain-1", plain.dump());
+    fixture.rewriteRegistration("plain-1", plain.dump());
     plain["state"] = "draining";
-    path.rewrite("plain-1", plain.dump());
+    fixture.rewriteRegistration("plain-1", plain.dump());
     auto answeredBy = [&](const std::string& name) {
-        return nlohmann::json::parse(path.ask("/once/order")->body).at("endpoint") == name;
+        return nlohmann::json::parse(fixture.sendAndWait("/once/order")->body).at("endpoint") == name;
     };
-    CHECK(runUntil(path.platform.loop, [&] { return answeredBy("plain-2") && answeredBy("plain-2") && answeredBy("plain-2") && answeredBy("plain-2"); }));
+    CHECK(runUntil(fixture.platform.loop, [&] { return answeredBy("plain-2") && answeredBy("plain-2") && answeredBy("plain-2") && answeredBy("plain-2"); }));
     plain["state"] = "ready";
     plain["born"] = 2'000;
-    path.rewrite("plain-1", plain.dump());
-    CHECK(runUntil(path.platform.loop, [&] { return answeredBy("plain-1"); }));
+    fixture.rewriteRegistration("plain-1", plain.dump());
+    CHECK(runUntil(fixture.platform.loop, [&] { return answeredBy("plain-1"); }));
 }
 
 TEST_CASE("malformed registrations are ignored and do not affect other endpoints")
 {
-    ServedPath path;
-    path.platform.swap("servers/stranger", 0, R"({"service":"plain","addr":7})");
-    path.platform.swap("servers/bytes", 0, "\x01\x02{");
-    path.rewrite("plain-1", R"({"service":"plain","addr":"127.0.0.1:1","state":"asleep"})");
-    auto isOnlySecond = [&] {
+    EntryFixture fixture;
+    fixture.platform.swap("servers/stranger", 0, R"({"service":"plain","addr":7})");
+    fixture.platform.swap("servers/bytes", 0, "\x01\x02{");
+    fixture.rewriteRegistration("plain-1", R"({"service":"plain","addr":"127.0.0.1:1","state":"asleep"})");
+    auto isAnsweredBySecondOnly = [&] {
         for (int number = 0; number < 8; ++number) {
-            auto answer = path.ask("/once/order");
+            auto answer = fixture.sendAndWait("/once/order");
             if (answer->head.status != 200 || nlohmann::json::parse(answer->body).at("endpoint") != "plain-2")
                 return false;
         }
         return true;
     };
-    CHECK(runUntil(path.platform.loop, isOnlySecond));
-    path.rewrite("plain-1", path.registration("plain", 0).dump());
-    CHECK(runUntil(path.platform.loop, [&] { return nlohmann::json::parse(path.ask("/once/order")->body).at("endpoint") == "plain-1"; }));
+    CHECK(runUntil(fixture.platform.loop, isAnsweredBySecondOnly));
+    fixture.rewriteRegistration("plain-1", fixture.registration("plain", 0).dump());
+    CHECK(runUntil(fixture.platform.loop, [&] { return nlohmann::json::parse(fixture.sendAndWait("/once/order")->body).at("endpoint") == "plain-1"; }));
 }
 
 // Guards against requests to an endpoint that has announced in a response that it is
 // leaving, while its registration in the store still says that it is ready.
 TEST_CASE("an endpoint that announces in a response that it is leaving receives no more requests, whatever its registration says")
 {
-    ServedPath path;
-    path.add("plain", "plain-3", 0, true);
-    REQUIRE(runUntil(path.platform.loop, [&] { return path.ask("/once/order") && path.executions(4) > 0; }));
+    EntryFixture fixture;
+    fixture.addEndpoint("plain", "plain-3", 0, true);
+    REQUIRE(runUntil(fixture.platform.loop, [&] { return fixture.sendAndWait("/once/order") && fixture.executions(4) > 0; }));
     for (int number = 0; number < 40; ++number)
-        CHECK(path.ask("/once/order")->head.status == 200);
-    CHECK(path.executions(4) == 1);
+        CHECK(fixture.sendAndWait("/once/order")->head.status == 200);
+    CHECK(fixture.executions(4) == 1);
     // The registration is removed and written again unchanged.
     std::string key = "servers/plain-3";
-    std::string registered = path.platform.get(key).value;
-    path.remove(key);
-    path.settle();
-    path.platform.swap(key, 0, registered);
-    path.settle();
+    std::string registered = fixture.platform.get(key).value;
+    fixture.removeKey(key);
+    fixture.waitForStoreChanges();
+    fixture.platform.swap(key, 0, registered);
+    fixture.waitForStoreChanges();
     for (int number = 0; number < 40; ++number)
-        CHECK(path.ask("/once/order")->head.status == 200);
-    CHECK(path.executions(4) == 1);
+        CHECK(fixture.sendAndWait("/once/order")->head.status == 200);
+    CHECK(fixture.executions(4) == 1);
 }
 
 // Guards against requests to an endpoint before the retry-after time of its refusal.
 TEST_CASE("an endpoint that refuses with a retry-after time receives no requests before that time")
 {
-    ServedPath path;
-    path.setFaults(0, { { "refuse", true } });
-    std::int64_t before = path.arrivals(0);
-    TimePoint began = path.platform.clock.now();
+    EntryFixture fixture;
+    fixture.setFaults(0, { { "refuse", true } });
+    std::int64_t before = fixture.receivedRequests(0);
+    TimePoint began = fixture.platform.clock.now();
     for (int number = 0; number < 40; ++number)
-        CHECK(path.ask("/once/order")->head.status == 200);
+        CHECK(fixture.sendAndWait("/once/order")->head.status == 200);
     // The stand-in sends a retry-after time of one second, so each further second
     // allows at most one more request.
-    std::int64_t seconds = std::chrono::duration_cast<std::chrono::seconds>(path.platform.clock.now() - began).count();
-    CHECK(path.arrivals(0) <= before + 1 + seconds);
-    path.setFaults(0, nlohmann::json::object());
-    CHECK(runUntil(path.platform.loop, [&] { return nlohmann::json::parse(path.ask("/once/order")->body).at("endpoint") == "plain-1"; }));
+    std::int64_t seconds = std::chrono::duration_cast<std::chrono::seconds>(fixture.platform.clock.now() - began).count();
+    CHECK(fixture.receivedRequests(0) <= before + 1 + seconds);
+    fixture.setFaults(0, nlohmann::json::object());
+    CHECK(runUntil(fixture.platform.loop, [&] { return nlohmann::json::parse(fixture.sendAndWait("/once/order")->body).at("endpoint") == "plain-1"; }));
 }
--- a/unittests/Platform/StoreMessagesTest.cpp
+++ b/unittests/Platform/StoreMessagesTest.cpp
@@ -8,7 +8,7 @@
 
 TEST_CASE("keys are percent-encoded in request targets")
 {
-    CHECK(getTarget("a/b c&d=é") == "/kv-key?key=a/b%20c%26d%3d%c3%a9");
+    CHECK(keyTarget("a/b c&d=é") == "/kv-key?key=a/b%20c%26d%3d%c3%a9");
     CHECK(rangeTarget("p/", "") == "/kv-range?prefix=p/");
     CHECK(rangeTarget("p/", "p/9") == "/kv-range?prefix=p/&after=p/9");
     CHECK(watchTarget("", 411, 2500ms) == "/kv-watch?prefix=&after=411&wait_ms=2500");
@@ -30,12 +30,12 @@
     REQUIRE(page.ok());
     CHECK(page->isTruncated);
     CHECK(page->revision == 9);
-    absl::StatusOr<WatchPage> news = readWatchPage(R"({"events":[{"key":"a","value":"","revision":5},{"key":"b","revision":6,"deleted":true}],"current_rev":6})");
-    REQUIRE(news.ok());
-    REQUIRE(news->events.size() == 2);
-    CHECK_FALSE(news->events[0].isDeletion);
-    CHECK(news->events[1].isDeletion);
-    CHECK(news->events[1].current.key == "b");
+    absl::StatusOr<WatchPage> watchPage = readWatchPage(R"({"events":[{"key":"a","value":"","revision":5},{"key":"b","revision":6,"deleted":true}],"current_rev":6})");
+    REQUIRE(watchPage.ok());
+    REQUIRE(watchPage->events.size() == 2);
+    CHECK_FALSE(watchPage->events[0].isDeletion);
+    CHECK(watchPage->events[1].isDeletion);
+    CHECK(watchPage->events[1].current.key == "b");
     CHECK(readLease(R"({"ttl_ms":3000})")->timeToLive == 3s);
 }
 
--- a/unittests/Platform/StoreStandinTest.cpp
+++ b/unittests/Platform/StoreStandinTest.cpp
@@ -71,9 +71,9 @@
 {
     PlatformFixture platform;
     SocketAddress address = platform.storeServer->address();
-    CHECK(platform.ask(address, "POST", "/kv-txn", "not json")->head.status == 400);
-    CHECK(platform.ask(address, "POST", "/kv-txn", R"({"expect":[1],"puts":{}})")->head.status == 400);
-    CHECK(platform.ask(address, "POST", "/kv-keep/none")->head.status == 404);
-    CHECK(platform.ask(address, "GET", "/other")->head.status == 404);
+    CHECK(platform.sendAndWait(address, "POST", "/kv-txn", "not json")->head.status == 400);
+    CHECK(platform.sendAndWait(address, "POST", "/kv-txn", R"({"expect":[1],"puts":{}})")->head.status == 400);
+    CHECK(platform.sendAndWait(address, "POST", "/kv-keep/none")->head.status == 404);
+    CHECK(platform.sendAndWait(address, "GET", "/other")->head.status == 404);
     CHECK(platform.swap("a", 0, "x").outcome == SwapOutcome::Committed);
 }
