--- a/include/catkinwing/Admission/DecayingRate.h
+++ b/include/catkinwing/Admission/DecayingRate.h
@@ -10,11 +10,12 @@
     explicit DecayingRate(Duration smoothing);
     /// Counts \p amount at \p now.
     void add(double amount, TimePoint now);
-    /// Counts \p amount as spread evenly from \p since to \p now.
+    /// Counts \p amount as distributed evenly from \p since to \p now.
     void addSpread(double amount, TimePoint since, TimePoint now);
-    /// Returns the smoothed rate a second.
+    /// Returns the smoothed rate per second.
     double rate(TimePoint now) const;
-    /// Returns the rate as it was at \p silence before now, if nothing came since.
+    /// Returns the rate without decay for the first \p silence after the last count,
+    /// and decayed from then on.
     double rateHeld(TimePoint now, Duration silence) const;
 
 private:
--- a/include/catkinwing/Admission/DrainRate.h
+++ b/include/catkinwing/Admission/DrainRate.h
@@ -5,18 +5,19 @@
 
 namespace catkinwing {
 
-/// Rate at which waiting work is started, measured only while work waits: idle
-/// time says nothing about how fast a queue drains.
+/// Rate at which queued work is started. Measured only while work is queued, since
+/// idle time doesn't show how fast a queue drains.
 class DrainRate {
 public:
-    /// Says from \p now on whether work waits.
+    /// Records whether work is queued from \p now on.
     void setBusy(bool busy, TimePoint now);
-    /// Counts started tokens, as estimated. What starts as soon as it came did not
-    /// wait and isn't counted.
+    /// Counts the estimated tokens of started work. Ignores work that starts on
+    /// arrival, without queueing.
     void add(double tokens, TimePoint now);
-    /// Returns tokens a second of busy time; empty before there was enough of it.
+    /// Returns tokens per second of busy time; empty until enough busy time has
+    /// been measured.
     std::optional<double> rate(TimePoint now) const;
-    /// Returns when work last waited.
+    /// Returns the last time at which work was queued.
     TimePoint lastBusy(TimePoint now) const { return m_busy ? now : m_busyUntil; }
 
 private:
--- a/include/catkinwing/Admission/OutputEstimator.h
+++ b/include/catkinwing/Admission/OutputEstimator.h
@@ -7,7 +7,7 @@
 
 namespace catkinwing {
 
-/// What the length of an answer depends on.
+/// Attributes of a request that determine the expected length of its response.
 struct OutputKey {
     std::string team;
     std::string requestClass;
@@ -24,14 +24,14 @@
     std::size_t operator()(const OutputKey& key) const;
 };
 
-/// Learns the expected output tokens of each key; bounded, the key that was
-/// longest unused gives way.
+/// Estimates the output tokens of each key from past responses. Holds a bounded
+/// number of keys and evicts the least recently used one.
 class OutputEstimator {
 public:
     explicit OutputEstimator(std::size_t maxKeys = 8192);
-    /// Returns the expected output tokens; \p prior counts as a few answers.
+    /// Returns the expected output tokens. \p prior has the weight of a few responses.
     double expectedOutput(const OutputKey&, double prior);
-    /// Learns from an answer of \p outputTokens.
+    /// Records a response of \p outputTokens.
     void learn(const OutputKey&, double outputTokens);
     /// Returns the number of keys held.
     std::size_t size() const { return m_entries.size(); }
--- a/include/catkinwing/Admission/RateBucket.h
+++ b/include/catkinwing/Admission/RateBucket.h
@@ -4,16 +4,17 @@
 
 namespace catkinwing {
 
-/// A token bucket on a passed-in time; starts full.
+/// Token bucket that is full at the start. The caller passes the time.
 class RateBucket {
 public:
-    /// \p rate is in tokens a second, \p capacity in tokens.
+    /// \p rate is in tokens per second, \p capacity in tokens.
     RateBucket(double rate, double capacity);
-    /// Takes \p tokens if they are there.
+    /// Removes \p tokens; false, without a change, if the bucket holds fewer.
     bool take(double tokens, TimePoint now);
-    /// Returns how long until \p tokens are there; zero if they are.
+    /// Returns the time until the bucket holds \p tokens: zero if it does already,
+    /// Duration::max() if it never will.
     Duration timeUntil(double tokens, TimePoint now);
-    /// Changes rate and capacity; what is in the bucket stays, up to the capacity.
+    /// Changes rate and capacity; the tokens in the bucket stay, up to the new capacity.
     void configure(double rate, double capacity, TimePoint now);
     double rate() const { return m_rate; }
     double capacity() const { return m_capacity; }
--- a/include/catkinwing/Admission/RegionalShares.h
+++ b/include/catkinwing/Admission/RegionalShares.h
@@ -9,35 +9,38 @@
 
 namespace catkinwing {
 
-/// What this daemon served of a pool lately, in tokens a second.
+/// Recent rates at which this daemon served a pool, in tokens per second.
 struct LocalService {
-    /// To the team in question.
+    /// Rate served to the team in question.
     double team { 0 };
-    /// To all teams.
+    /// Rate served to all teams.
     double all { 0 };
-    /// What a backlogged team of its weight, with no other daemon, gets here.
+    /// Rate that a backlogged team of the same weight gets here if no other daemon
+    /// serves it.
     double level { 0 };
 };
 
-/// How a team stands in the region, seen from one of its daemons.
+/// Service that a team gets in the region relative to its fair share, computed by
+/// one daemon.
 struct RegionalStanding {
-    /// This daemon's part of the capacity of the daemons that serve the team; 1
-    /// if no other does.
+    /// This daemon's share of the capacity of all daemons that serve the team; 1
+    /// if no other daemon does.
     double part { 1 };
-    /// Logarithm of what a team of its weight gets here over what the team gets
-    /// in the region: below zero if it has more than its share. Bounded.
+    /// Logarithm of the rate that a team of this weight gets here divided by the
+    /// rate that the team gets in the region. Negative if the team gets more than
+    /// its share. Bounded.
     double lean { 0 };
     /// Whether another daemon serves the team.
     bool shared { false };
 };
 
-/// The part of a team's weight that counts in a daemon. Adapts from refresh to
-/// refresh while the team is backlogged there, and forgets while it isn't.
+/// Fraction of a team's weight that applies in this daemon. Adapts at each refresh
+/// while the team is backlogged here, and decays to the default while it isn't.
 class WeightShift {
 public:
-    /// Takes in the standing of a backlogged team.
+    /// Updates the shift from the standing of a backlogged team.
     void adapt(const RegionalStanding& standing, TimePoint now);
-    /// Returns the part of the weight that counts, above 0 and at most 1.5.
+    /// Returns the fraction of the weight that applies, above 0 and at most 1.5.
     double fraction(const RegionalStanding& standing) const;
 
 private:
@@ -45,20 +48,22 @@
     TimePoint m_adaptedAt {};
 };
 
-/// What the other daemons of the region served of one pool.
+/// Service from one pool by the other daemons of the region.
 class RegionalShares {
 public:
     explicit RegionalShares(const SharePolicy& policy = {});
-    /// Takes in a counter. The first word of a source on a team only sets the
-    /// baseline; an older life's word, or one that went back, is ignored.
+    /// Updates the rates from a received counter. The first counter of a source for
+    /// a team only sets the baseline. Counters of an older incarnation, and counters
+    /// that decreased, are ignored.
     void apply(const ServiceSource& source, const ServiceCounter& counter, TimePoint now);
-    /// Forgets a source that is gone.
+    /// Removes a source that has left.
     void forget(const std::string& source);
-    /// Forgets a team that vanished.
+    /// Removes a team that no longer exists.
     void forgetTeam(const std::string& team) { m_teams.erase(team); }
-    /// Forgets sources without a word for long, whose rates have faded.
+    /// Removes sources that have reported nothing for so long that their rates have
+    /// decayed.
     void prune(TimePoint now);
-    /// Returns how a team stands, given what this daemon served.
+    /// Returns the standing of a team, given the rates of this daemon.
     RegionalStanding standing(const std::string& team, const LocalService& local, TimePoint now) const;
 
 private:
@@ -71,11 +76,12 @@
         std::uint64_t incarnation { 0 };
         std::uint64_t tokens { 0 };
         TimePoint at {};
-        /// When the count last grew.
+        /// Time of the last increase of the count.
         TimePoint servedAt {};
         DecayingRate rate;
     };
-    /// By source; ordered, so that sums are the same in every run.
+    /// Counters by source. Ordered, so that floating-point sums are the same in
+    /// every run.
     using Counters = std::map<std::string, Counter>;
 
     SharePolicy m_policy;
--- a/include/catkinwing/Admission/RetryBudget.h
+++ b/include/catkinwing/Admission/RetryBudget.h
@@ -2,21 +2,22 @@
 
 namespace catkinwing {
 
-/// Bounds retries and hedges to a part of the requests, so that failures can't
-/// multiply load. Earned by requests, not by time: an idle cell earns nothing.
+/// Limits retries and hedges to a fraction of the requests, so that failures can't
+/// multiply load. Requests add to the budget, elapsed time doesn't: an idle cell
+/// accumulates no budget.
 class RetryBudget {
 public:
-    /// \p ratio is the retries earned by a request; at most \p burst are saved.
+    /// Each request adds \p ratio retries to the budget, up to \p burst retries.
     explicit RetryBudget(double ratio = 0.1, double burst = 10);
-    /// Changes how much is saved from now on.
+    /// Changes the max budget, and cuts the available budget to it.
     void setBurst(double burst);
-    /// Saves as much as can be.
+    /// Sets the available budget to the max.
     void fill() { m_available = m_burst; }
     /// Counts a first attempt.
     void onRequest();
-    /// Takes one retry or hedge from the budget; false if it is used up.
+    /// Takes one retry or hedge from the budget; false if less than one is available.
     bool tryRetry();
-    /// Returns the retries that could be taken now.
+    /// Returns the available budget, in retries.
     double available() const { return m_available; }
 
 private:
--- a/include/catkinwing/Admission/ServiceCounter.h
+++ b/include/catkinwing/Admission/ServiceCounter.h
@@ -6,18 +6,18 @@
 
 namespace catkinwing {
 
-/// Tokens served to a team from a pool since the daemon's start, as told to the
-/// other daemons of the region in heartbeats.
+/// Tokens served to a team from a pool since the start of the daemon, as reported
+/// to the other daemons of the region in heartbeats.
 struct ServiceCounter {
     std::string team;
     std::string pool;
     std::uint64_t tokens { 0 };
 };
 
-/// Who told a counter, and which life of it: a daemon, or a relay that tells a
-/// whole cell's service. A relay's counter is its own sum of the increases it
-/// saw, so that it never goes back when a daemon of the cell restarts; another
-/// relay is another source. Later lives have higher incarnations.
+/// Sender of a counter and its incarnation. The sender is a daemon, or a relay that
+/// reports the service of a whole cell. A relay sums up the increases that it
+/// received, so its counter never decreases when a daemon of the cell restarts. A
+/// different relay is a different source. A restart raises the incarnation.
 struct ServiceSource {
     std::string name;
     std::uint64_t incarnation { 0 };
--- a/include/catkinwing/Admission/SlotDivision.h
+++ b/include/catkinwing/Admission/SlotDivision.h
@@ -8,31 +8,34 @@
 
 namespace catkinwing {
 
-/// What a live entry would use of an endpoint: requests in flight and waiting.
+/// Slots of an endpoint that a live entry could use: requests in flight and waiting.
 struct EntryDemand {
     std::string entry;
     std::size_t slots { 0 };
 };
 
-/// The slots of an endpoint that an entry may use.
+/// Slots of an endpoint that an entry may use.
 struct EntryCredit {
     std::string entry;
     std::size_t slots { 0 };
 };
 
 /// Divides \p totalSlots among the live entries: \p floor each, then by unmet
-/// demand (equal shares up to each one's demand), then what is left evenly.
-/// The result follows the entries' names, doesn't depend on the order given, and
-/// sums to exactly \p totalSlots (to zero without entries). With fewer slots
-/// than floors, each gets an equal part and the first by name one more.
+/// demand (equal shares up to each one's demand), then the remaining slots evenly.
+/// The result is ordered by entry name, doesn't depend on the order of \p demands,
+/// and sums to exactly \p totalSlots (to zero without entries). With fewer slots
+/// than the sum of the floors, each entry gets an equal share, and the first ones by
+/// name get one of the remaining slots each.
 std::vector<EntryCredit> divideSlots(std::size_t totalSlots, std::vector<EntryDemand> demands, std::size_t floor = 1);
 
-/// One entry's credit at one endpoint over time: shrinks at once and grows only
-/// after \p growDelay, so that the others have shrunk by then.
+/// One entry's credit at one endpoint over time. Decreases take effect at once and
+/// increases only after \p growDelay, so that the credits of the other entries have
+/// decreased by then.
 class SlotCredit {
 public:
     explicit SlotCredit(Duration growDelay = std::chrono::seconds(2));
-    /// Notes what the division gives now and returns what may be used.
+    /// Records the slots that the division gives now and returns the slots that the
+    /// entry may use.
     std::size_t update(std::size_t slots, TimePoint now);
 
 private:
@@ -42,7 +45,7 @@
     };
 
     Duration m_growDelay;
-    /// Rising from front to back; the front is the least of the window.
+    /// Samples with slots rising from front to back; the front is the min of the window.
     std::deque<Sample> m_samples;
 };
 
--- a/include/catkinwing/Admission/SlotReservation.h
+++ b/include/catkinwing/Admission/SlotReservation.h
@@ -5,27 +5,27 @@
 
 namespace catkinwing {
 
-/// Slots of one pool in this daemon.
+/// Total and used slots of one pool in this daemon.
 struct SlotUse {
     std::size_t total { 0 };
     std::size_t shortInFlight { 0 };
     std::size_t longInFlight { 0 };
 };
 
-/// How much of a pool long work may hold.
+/// Limits on the slots that are reserved for short work.
 struct ReservationPolicy {
-    /// Part of the slots kept for short work while there is much of it.
+    /// Max fraction of the slots that is reserved for short work.
     double maxReserve { 0.3 };
-    /// Part kept even when no short work was seen for long.
+    /// Fraction of the slots that is reserved even without recent short work.
     double minReserve { 0.1 };
-    /// Time constant with which the remembered short demand decays.
+    /// Time constant with which the peak of the short demand decays.
     Duration memory { std::chrono::seconds(60) };
 };
 
-/// Remembers how many slots short work needed lately: a peak that decays.
+/// Decaying peak of the number of slots that short work needed.
 class ShortDemand {
 public:
-    /// Notes that short work held or awaited \p slots at \p now.
+    /// Records that short work used or waited for \p slots at \p now.
     void note(std::size_t slots, TimePoint now, Duration memory);
     /// Returns the decayed peak.
     double peak(TimePoint now, Duration memory) const;
@@ -35,19 +35,20 @@
     TimePoint m_notedAt {};
 };
 
-/// Returns the slots kept for short work: its remembered peak and one to spare,
-/// within the policy's bounds. One slot of a pool of at least two is always
-/// kept; a pool of one keeps none.
+/// Returns the slots reserved for short work: its decayed peak plus one spare slot,
+/// within the limits of the policy. A pool of two or more slots always reserves at
+/// least one; a pool of one slot reserves none.
 std::size_t reservedSlots(std::size_t total, double shortPeak, const ReservationPolicy&);
 
 /// Returns whether work of \p kind may take one more slot.
 bool mayStart(WorkKind kind, const SlotUse& use, std::size_t reserved);
 
-/// The reservation of one pool: remembers the short demand and decides.
+/// Slot reservation of one pool: tracks the short demand and decides which work may
+/// start.
 class SlotReservation {
 public:
     explicit SlotReservation(const ReservationPolicy& policy = {});
-    /// Notes the short work in flight and waiting.
+    /// Records the number of short requests in flight and waiting.
     void noteShort(std::size_t inFlight, std::size_t waiting, TimePoint now);
     /// Returns whether work of \p kind may take one more slot.
     bool mayStart(WorkKind kind, const SlotUse& use, TimePoint now) const;
--- a/include/catkinwing/Admission/WaitLimit.h
+++ b/include/catkinwing/Admission/WaitLimit.h
@@ -5,31 +5,31 @@
 
 namespace catkinwing {
 
-/// What a request can bear, and what its like can.
+/// Latency target and time limits of a request, from which its max wait is computed.
 struct WaitDemand {
-    /// The shortest latency target among the kinds of request of the service
-    /// that are at least as urgent; zero if none is stated.
+    /// Shortest latency target among the request kinds of the service that are at
+    /// least as urgent; zero if none is set.
     std::chrono::milliseconds latencyTarget { 0 };
-    /// More urgent kinds share the endpoints.
+    /// Whether more urgent request kinds use the same endpoints.
     bool hasMoreUrgent { false };
-    /// The longest time that its client may be kept waiting from its first try.
+    /// Max time that the client waits, counted from its first attempt.
     std::chrono::milliseconds timeout { 0 };
     std::chrono::milliseconds timeLeft { 0 };
 };
 
-/// Returns how long a request may wait before an endpoint begins with it: a
-/// request that would wait longer makes itself and all behind it late. It
-/// doesn't depend on the request's size. \p idleFirstByte is what an idle
-/// endpoint takes.
+/// Returns the max time that a request may wait until an endpoint starts it. A
+/// request that waits longer misses its latency target and delays all requests
+/// queued behind it. The limit doesn't depend on the size of the request.
+/// \p idleFirstByte is the time to first byte of an idle endpoint.
 Duration longestWait(const WaitDemand& demand, Duration idleFirstByte);
 
-/// When refused clients are to come back: one after the other, as fast as the
-/// endpoints can serve them beside what else arrives.
+/// Assigns retry-after times to refused clients: one after the other, at the rate
+/// at which the endpoints can serve them in addition to new requests.
 class ReturnSchedule {
 public:
-    /// Gives out the next time and returns how far off it is. \p work is how
-    /// long all the endpoints together take for the request; the client waits
-    /// no longer than \p longest.
+    /// Books the next retry time and returns the delay until then. \p work is the
+    /// time that all endpoints together take for the request; \p longest is the max
+    /// time that the client waits.
     std::chrono::milliseconds book(Duration work, std::chrono::milliseconds longest, TimePoint now, Random& random);
 
 private:
--- a/lib/Admission/DecayingRate.cpp
+++ b/lib/Admission/DecayingRate.cpp
@@ -25,15 +25,16 @@
         add(amount, now);
         return;
     }
-    // What a steady rate over the span leaves behind. However long the span was,
-    // this is at most rate x smoothing: an old backlog can't be felt for longer.
+    // Adds the decayed mass of a steady rate over the span. It is at most rate x
+    // smoothing for a span of any length, so the effect of a large amount from a
+    // long span fades as quickly as that of any other.
     decayTo(now);
     m_mass += amount / span * m_smoothing * -std::expm1(-span / m_smoothing);
 }
 
 double DecayingRate::rate(TimePoint now) const
 {
-    // The usual case for a peer's rate, which is held between heartbeats.
+    // Common case: the rate of a peer, which is held between heartbeats.
     if (now <= m_at)
         return m_mass / m_smoothing;
     double age = Seconds(now - m_at).count();
--- a/lib/Admission/DrainRate.cpp
+++ b/lib/Admission/DrainRate.cpp
@@ -6,11 +6,12 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Busy seconds that the rate looks back over.
+/// Time constant of the smoothing, in busy seconds.
 static constexpr double smoothing = 5;
-/// Work that starts sooner than this after the queue was empty did not wait.
+/// Work that starts sooner than this after the queue became non-empty did not wait.
 static constexpr Duration leastWait = std::chrono::milliseconds(1);
-/// Busy seconds before a rate is told: a prediction from less would refuse on a guess.
+/// Busy seconds needed before a rate is returned: a prediction from fewer is too
+/// uncertain to refuse requests on.
 static constexpr double leastBusy = 1;
 
 void DrainRate::setBusy(bool busy, TimePoint now)
@@ -25,8 +26,8 @@
 
 void DrainRate::add(double tokens, TimePoint now)
 {
-    // Counted, it would add tokens and no time, and the rate would grow with
-    // every request that finds a free slot.
+    // Counting work that did not wait would add tokens without busy time, and every
+    // request that finds a free slot would raise the rate.
     if (!m_busy || now - m_busySince < leastWait)
         return;
     advance(now);
--- a/lib/Admission/OutputEstimator.cpp
+++ b/lib/Admission/OutputEstimator.cpp
@@ -7,9 +7,10 @@
 
 namespace catkinwing {
 
-/// Answers that the document's prior counts for.
+/// Weight of the configured prior, in responses.
 static constexpr double priorAnswers = 4;
-/// Answers remembered at most: an answer moves the mean by at least 1 / this.
+/// Max weight of the past responses: each new response has a weight of at least
+/// 1 / maxAnswers in the mean.
 static constexpr double maxAnswers = 32;
 
 std::size_t OutputKeyHash::operator()(const OutputKey& key) const
@@ -30,7 +31,8 @@
         return prior;
     m_entries.splice(m_entries.begin(), m_entries, found->second);
     const Entry& entry = *found->second;
-    // The prior fades as answers come in, and is gone once the memory is full.
+    // The weight of the prior decreases with each response and is zero once
+    // maxAnswers responses are recorded.
     double weight = priorAnswers * std::max(0.0, 1 - entry.answers / maxAnswers);
     return (weight * prior + entry.answers * entry.mean) / (weight + entry.answers);
 }
--- a/lib/Admission/RateBucket.cpp
+++ b/lib/Admission/RateBucket.cpp
@@ -6,7 +6,8 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Rounding of the refill must not refuse a caller that came back when told.
+/// Tolerance in tokens. Without it, rounding of the refill could refuse a caller
+/// that retries exactly at its retry-after time.
 static constexpr double roundingSlack = 1e-6;
 
 RateBucket::RateBucket(double rate, double capacity)
