--- a/lib/Admission/RegionalShares.cpp
+++ b/lib/Admission/RegionalShares.cpp
@@ -6,57 +6,64 @@
 
 namespace catkinwing {
 
-/// Silence after which a source is taken as gone and forgotten.
+/// Time without a report after which a source is removed.
 static constexpr Duration maxSilence = std::chrono::minutes(2);
 
-// A team that uses several daemons of a region must not get its share from each.
-// Three ways were weighed; the commits and DECISIONS have the figures.
+// A team that uses several daemons of a region must get its share once in total, not
+// once per daemon. Two simpler designs fail; the commits and DECISIONS have the
+// figures.
 //
-// 1. Adding the others' served tokens to the local counter is a feedback loop
-//    with a delay: each of n daemons that sees the team behind by x serves it x,
-//    together n x, and then all stop together. Its gain is about n - 1, so it
-//    swings for n > 2, and a cut leaves a debt as long as the cut.
-// 2. Splitting the weight by where the team was served is stable and right in
-//    sum, but nothing holds the split itself: where all daemons are alike, every
-//    split is as fair as any other, chance moves it, and within minutes each
-//    team has daemons to itself and next to nothing in the others.
-// 3. So the weight is split by the capacity of the daemons that serve the team,
-//    and the split is shifted, in logarithms, by how the team stands:
+// 1. Adding the tokens served by other daemons to the local counter is a feedback
+//    loop with a delay: each of n daemons that finds the team x tokens behind
+//    serves it x tokens, n x in total, and then all stop at once. The gain is about
+//    n - 1, so the service oscillates for n > 2. After a network partition the
+//    team has a debt of service that takes as long as the partition to pay off.
+// 2. Splitting the weight by the service in each daemon is stable and gives the
+//    right sum, but nothing stabilizes the split itself: with identical daemons all
+//    splits are equally fair, random variation moves the split, and within minutes
+//    each team uses some daemons alone and gets almost nothing in the others.
 //
-//        lean = log(what its weight gets here / what it gets in the region)
+// So the weight is split by the capacity of the daemons that serve the team, and the
+// split is shifted on a logarithmic scale by the team's standing:
+//
+//        lean = log(rate that its weight gets here / its rate in the region)
 //        shift' = lean / adaptTime - shift / shiftMemory
 //        weight here = weight x part x exp(shift + lean)
 //
-// - Each daemon turns the weight by a factor and not by tokens, so all of them
-//   together change the team's service by that factor, whatever their number.
-// - Shift follows rates that all teams of a daemon or all daemons of a team have
-//   in common, so chance can't move two teams against each other; its memory
-//   draws the split back to the capacities, which costs an error of shift x
-//   adaptTime / shiftMemory: 4 % where a team should all but leave a daemon.
-// - Where a team should leave a daemon its weight there falls exponentially.
-// - Only smoothed rates count, never totals. So a cut or restart leaves no debt:
-//   during a cut the others fade and the weight counts here in full; a total that
-//   jumped by an hour's service counts as the mean rate of that hour.
+// - Each daemon scales the weight by a factor instead of adding tokens, so all
+//   daemons together change the team's service by that factor, for any number of
+//   daemons.
+// - The shift depends on rates that are common to all teams of a daemon or to all
+//   daemons of a team, so random variation can't move two teams in opposite
+//   directions. The decay of the shift pulls the split back to the capacities. That
+//   costs an error of shift x adaptTime / shiftMemory: 4 % where a team should get
+//   almost nothing from a daemon.
+// - Where a team should leave a daemon, its weight there decreases exponentially.
+// - Only smoothed rates are used, never totals, so a partition or restart leaves no
+//   debt. During a partition the rates of the other daemons decay and the full weight
+//   applies here. A total that grew by an hour's service after a partition counts as
+//   the mean rate of that hour.
 
 using Seconds = std::chrono::duration<double>;
 
-/// Time in which a lean of one shifts the weight by a factor e: about as late as
-/// a lean is seen. A third of it swings with heartbeats of one second.
+/// Seconds in which a lean of one shifts the weight by a factor of e. About equal to
+/// the delay with which a lean is measured; a third of this value oscillates with
+/// heartbeats of one second.
 static constexpr double adaptTime = 1.5;
-/// Time constant with which a shift decays.
+/// Time constant in seconds with which a shift decays.
 static constexpr double shiftMemory = 100;
-/// The same for a team that isn't backlogged.
+/// Time constant in seconds with which the shift of a team decays that isn't backlogged.
 static constexpr double idleMemory = 5;
-/// Longest time between two refreshes through which a team counts as backlogged.
+/// Max seconds between two refreshes during which a team counts as backlogged.
 static constexpr double longestStep = 1;
-/// Bounds of lean and shift. The least of both leaves a team about 1 % of its
-/// part, from where it is back within seconds.
+/// Limits of lean and shift. With both at their min, a team keeps about 1 % of its
+/// part of the weight, from which it recovers within seconds.
 static constexpr double mostLean = 1.5;
 static constexpr double leastShift = -3;
 static constexpr double mostShift = 3;
 static constexpr double mostFraction = 1.5;
-/// A daemon that served less than this part of the others' mean counts as that,
-/// since an idle one has capacity too.
+/// Min capacity of this daemon, as a fraction of the mean of the others. An idle
+/// daemon serves nothing but still has capacity.
 static constexpr double leastCapacity = 0.1;
 
 void WeightShift::adapt(const RegionalStanding& standing, TimePoint now)
@@ -97,7 +104,7 @@
     bool restarted = last.incarnation != source.incarnation;
     if (!restarted && counter.tokens < last.tokens)
         return;
-    // A new life counts from zero, and all of it lies after the last word.
+    // A new incarnation counts from zero, and all of its service came after the last report.
     auto served = static_cast<double>(restarted ? counter.tokens : counter.tokens - last.tokens);
     last.rate.addSpread(served, last.at, now);
     known.total.addSpread(served, last.at, now);
@@ -144,7 +151,7 @@
         capacity += m_sources.at(name).total.rateHeld(now, m_policy.peerSilence);
         ++daemons;
     }
-    // Less than a token a second is no use of another daemon.
+    // A rate below one token per second doesn't count as use of another daemon.
     if (remote < 1)
         return standing;
     standing.shared = true;
--- a/lib/Admission/RetryBudget.cpp
+++ b/lib/Admission/RetryBudget.cpp
@@ -4,8 +4,9 @@
 
 namespace catkinwing {
 
-// Earned by requests and not by time: a rate in time would let a cell that
-// receives little send many times its load, which is when endpoints fail.
+// The budget grows with requests and not with time. A budget per unit of time would
+// let a cell with little traffic send many times its load in retries, which happens
+// just when endpoints fail.
 
 RetryBudget::RetryBudget(double ratio, double burst)
     : m_ratio(ratio)
@@ -26,7 +27,7 @@
 
 bool RetryBudget::tryRetry()
 {
-    // Ten times 0.1 is a little less than one in binary.
+    // The sum of ten times 0.1 is slightly less than one in binary floating point.
     constexpr double roundingSlack = 1e-9;
     if (m_available + roundingSlack < 1)
         return false;
--- a/lib/Admission/RetryWindow.cpp
+++ b/lib/Admission/RetryWindow.cpp
@@ -5,20 +5,21 @@
 
 namespace catkinwing {
 
-// In no window does an entry send again more than the ratio of the mean of its
-// requests in that window and in the one before. Both spans are the same at all
-// entries, so the bound holds for their sum too: the mean over all requests is at
-// most the larger of the two.
+// In each window, the retries of an entry are limited to the ratio times the mean of
+// its requests in that window and in the previous one, plus slack and phase. Both
+// windows are the same at all entries, so the limit holds for the sum over all
+// entries too: the mean over all requests is at most the larger of the two counts.
 //
-// Half of what the window before has earned can be spent at once, as after a crash;
-// the other half as requests come, also where they have just begun to.
+// Half of the allowance from the previous window can be used at once, for example
+// after a crash. The other half becomes available as requests arrive, also at an
+// entry that has just begun to receive requests.
 //
-// The most requests of any window up to now would not do as a bound: where load
-// moves, the entries that lose it spend what they have earned while those that get it
-// earn the same once more.
+// The max number of requests of any past window would be a wrong limit: when load
+// moves, the entries that lose it would use their old allowance while the entries
+// that get it earn the same allowance again.
 
-/// A retry arrives up to this much later than it is decided, with a new connection,
-/// and counts in windows that begin in between.
+/// Max time from the decision to retry until the retry arrives, with a new connection.
+/// The retry also counts in windows that begin within this time.
 static constexpr std::chrono::milliseconds longestWay { 1'000 };
 
 static std::int64_t stepNumber(TimePoint time, std::chrono::milliseconds stepLength)
@@ -53,7 +54,7 @@
     return m_allowance.ratio * earning / 2 + m_allowance.slack + m_phase;
 }
 
-// The window in which least is left decides.
+// Returns the min over all windows that a retry at \p now falls into.
 double RetryWindow::left(TimePoint now) const
 {
     std::int64_t current = stepNumber(now, stepLength);
--- a/lib/Admission/SlotDivision.cpp
+++ b/lib/Admission/SlotDivision.cpp
@@ -5,17 +5,17 @@
 
 namespace catkinwing {
 
-// Every entry computes the whole division from the same heartbeats, so equal
-// views give credits that sum to the total without any agreement. Views differ
-// for up to one heartbeat after a change. SlotCredit covers that: an entry uses
-// the least that the division gave it within its grow delay. If the delay is no
-// shorter than the spread of the views, one change of demand can't overshoot:
-// either some entry saw only the new view in its window, then all have seen it
-// and use at most what it gives, or all have the old view in their window and
-// use at most what that gives. Changes that come faster, or an entry that is
-// wrongly believed dead, can overshoot by at most what the division then gives
-// twice, never above total slots for each disagreeing view; the endpoint's own
-// queue takes that.
+// Every entry computes the whole division from the same heartbeats, so with equal
+// views the credits sum to the total without coordination. Views differ for up to
+// one heartbeat after a change. SlotCredit covers this time: an entry uses the min
+// of the slots that the division gave it within its grow delay. If the delay is at
+// least the time in which all views are updated, one change of demand can't exceed
+// the total. Either the window of some entry has only the new view; then all entries
+// have received that view and use at most the slots that it gives. Or the windows of
+// all entries include the old view, and they use at most the slots that it gives.
+// Several changes within the delay, or a live entry that is recorded as dead, can
+// exceed the total by the slots that are given twice, at most the total slots for
+// each differing view. The queue of the endpoint absorbs this excess.
 
 using Slots = std::vector<std::size_t>;
 
@@ -27,7 +27,8 @@
     return parts;
 }
 
-/// Raises the lowest credits to a common level until demand or slots are used up.
+/// Divides \p left slots evenly among the entries with unmet demand, up to the demand
+/// of each entry. Returns the slots that remain.
 static std::size_t fillToDemand(Slots& credits, const std::vector<EntryDemand>& demands, std::size_t left)
 {
     std::vector<std::size_t> order(credits.size());
@@ -70,7 +71,7 @@
 std::size_t SlotCredit::update(std::size_t slots, TimePoint now)
 {
     if (m_samples.empty() || m_samples.back().slots != slots) {
-        // The new value takes the place of greater ones from when they began.
+        // The new value replaces equal and greater ones from the time of the first of them.
         TimePoint since = now;
         while (!m_samples.empty() && m_samples.back().slots >= slots) {
             since = m_samples.back().at;
@@ -78,7 +79,8 @@
         }
         m_samples.push_back({ since, slots });
     }
-    // The front was in force until the next began; past the window it is forgotten.
+    // The front applied until the start of the next sample. Removes it if that start
+    // is outside of the window.
     while (m_samples.size() > 1 && m_samples[1].at <= now - m_growDelay)
         m_samples.pop_front();
     return m_samples.front().slots;
--- a/lib/Admission/SlotReservation.cpp
+++ b/lib/Admission/SlotReservation.cpp
@@ -24,7 +24,7 @@
         return 0;
     double least = std::max(1.0, std::floor(policy.minReserve * static_cast<double>(total)));
     double most = std::max(least, std::floor(policy.maxReserve * static_cast<double>(total)));
-    // Below half a slot of remembered demand the spare slot goes too.
+    // If the decayed peak is below half a slot, no spare slot is reserved either.
     double wanted = shortPeak < 0.5 ? 0 : std::ceil(shortPeak) + 1;
     return static_cast<std::size_t>(std::clamp(wanted, least, most));
 }
--- a/lib/Admission/WaitLimit.cpp
+++ b/lib/Admission/WaitLimit.cpp
@@ -6,24 +6,28 @@
 
 using std::chrono::milliseconds;
 
-/// Part of the target, less what an idle endpoint takes, that may pass before the
-/// endpoint begins. Anything from 0.8 to 1.1 serves alike; at 0.6 too much is refused.
+/// Max wait, as a fraction of the latency target minus the time to first byte of an
+/// idle endpoint. Values from 0.8 to 1.1 give similar results; 0.6 refuses too many
+/// requests.
 static constexpr double waitPart = 0.95;
-/// An endpoint that is never in time is waited for by this part of the target.
+/// Lower limit of the max wait, as a fraction of the target. Applies to endpoints that
+/// are too slow to meet the target even when idle.
 static constexpr double leastWaitPart = 0.2;
-/// Less urgent kinds leave this much of the wait to the more urgent ones, which
-/// so find room however much of the others comes.
+/// Fraction of the max wait that applies to less urgent request kinds. The rest is
+/// left to the more urgent kinds, so that any load of less urgent requests leaves
+/// capacity for them.
 static constexpr double lessUrgentPart = 0.7;
-/// A client that has been sent back once is late already; it is taken unless it
-/// would wait for more than this part of what it has left.
+/// Fraction of the max wait that applies to a client that was refused before. Its
+/// request has missed the latency target already.
 static constexpr double returnedPart = 0.7;
-/// Of a client with less than this part of its time something has passed before.
+/// A request with less than this fraction of its timeout left counts as a retry after
+/// a refusal.
 static constexpr double freshPart = 0.93;
-/// Assumed where no target is stated.
+/// Latency target of requests for which none is set.
 static constexpr milliseconds usualTarget { 1'000 };
-/// Sooner a client finds nothing changed.
+/// Min retry-after time. The load doesn't change noticeably in a shorter time.
 static constexpr milliseconds shortestReturn { 250 };
-/// Part of what the endpoints can do that is left to clients that come back.
+/// Fraction of the endpoints' capacity that is planned for retries of refused clients.
 static constexpr double partForReturns = 0.3;
 
 static Duration partOf(Duration duration, double part)
@@ -47,8 +51,8 @@
     auto wait = std::chrono::duration_cast<milliseconds>(m_next - now);
     if (wait <= longest)
         return wait;
-    // More are refused than can be served before their clients leave: these share
-    // what is left of the time.
+    // More clients are refused than can be served before they time out. Spreads
+    // them at random over the last fifth of the longest wait.
     m_next = now + longest;
     return std::max(shortestReturn, std::chrono::duration_cast<milliseconds>(partOf(longest, (4 + random.unit()) / 5)));
 }
--- a/unittests/Admission/BudgetsTest.cpp
+++ b/unittests/Admission/BudgetsTest.cpp
@@ -9,14 +9,14 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-TEST_CASE("the cost counts what is not cached and the weighted output")
+TEST_CASE("the cost is the uncached prompt tokens plus the weighted output tokens")
 {
     CHECK(estimateCost({ 1000, 600, 50, 4 }) == Approx(600));
     CHECK(estimateCost({ 1000, 5000, 50, 4 }) == Approx(200));
     CHECK(estimateCost({ 0, 0, 0, 4 }) == Approx(1));
 }
 
-TEST_CASE("the expected output is learned from a prior")
+TEST_CASE("the expected output moves from the prior to the mean of the responses")
 {
     OutputEstimator estimator(2);
     OutputKey key { "a", "chat", "m" };
@@ -28,13 +28,13 @@
     for (int i = 0; i < 100; ++i)
         estimator.learn(key, 100);
     CHECK(estimator.expectedOutput(key, 500) == Approx(100));
-    // It follows a change within some dozens of answers.
+    // The estimate follows a change within some dozens of responses.
     for (int i = 0; i < 100; ++i)
         estimator.learn(key, 300);
     CHECK(estimator.expectedOutput(key, 500) == Approx(300).epsilon(0.05));
 }
 
-TEST_CASE("the estimator forgets the key that was longest unused")
+TEST_CASE("the estimator evicts the least recently used key")
 {
     OutputEstimator estimator(2);
     OutputKey a { "a", "chat", "m" };
@@ -48,7 +48,7 @@
     CHECK(estimator.expectedOutput(b, 500) == Approx(500));
 }
 
-TEST_CASE("retries never exceed a tenth of the requests and one burst")
+TEST_CASE("retries never exceed a tenth of the requests")
 {
     Random random(31);
     RetryBudget budget;
@@ -57,7 +57,8 @@
     for (int i = 0; i < 20000; ++i) {
         budget.onRequest();
         ++requests;
-        // Everything fails and is retried as often as allowed, after a calm start.
+        // After the first 5000 requests, all requests fail and are retried as often as
+        // the budget allows.
         while (i > 5000 && budget.tryRetry())
             ++retries;
         REQUIRE(retries <= 0.1 * requests + 1e-6);
@@ -66,7 +67,7 @@
     CHECK(retries <= 0.1 * (requests - 5001) + 10);
 }
 
-TEST_CASE("a token bucket tells exactly when it has enough")
+TEST_CASE("a token bucket returns the exact time until it holds enough tokens")
 {
     RateBucket bucket(4, 2);
     TimePoint now { 1h };
--- a/unittests/Admission/DrainRateTest.cpp
+++ b/unittests/Admission/DrainRateTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-TEST_CASE("the drain rate is that of busy time")
+TEST_CASE("the drain rate counts only the time in which work is queued")
 {
     DrainRate drain;
     TimePoint now { 1h };
--- a/unittests/Admission/RegionFake.cpp
+++ b/unittests/Admission/RegionFake.cpp
@@ -4,7 +4,7 @@
 
 namespace catkinwing {
 
-/// Requests kept waiting for a backlogged team at a daemon.
+/// Number of queued requests of a backlogged team at a daemon.
 static constexpr std::size_t backlogDepth = 8;
 
 TeamPolicy teamOf(const std::string& name, double weight)
@@ -38,7 +38,7 @@
         daemon.spec = std::move(spec);
         daemon.queue = std::make_unique<FairQueue>();
         daemon.queue->configure(m_teams, now());
-        // Heartbeats of the daemons are out of step.
+        // A random phase keeps the heartbeats of the daemons from coinciding.
         Duration phase = std::chrono::milliseconds(m_random.below(500));
         m_scheduler.callAfter(phase, [this, name] { scheduleBeat(name); });
     }
--- a/unittests/Admission/RegionFake.h
+++ b/unittests/Admission/RegionFake.h
@@ -11,24 +11,24 @@
 
 namespace catkinwing {
 
-/// A daemon of the fake region: slots that each serve tokens at a fixed rate.
+/// Daemon of the fake region, whose slots each serve tokens at a fixed rate.
 struct DaemonSpec {
     std::string name;
     std::size_t slots { 8 };
     double tokensPerSecond { 8000 };
 };
 
-/// Daemons with a fair queue each, that exchange served counters in heartbeats
-/// with a delay. Serves requests of one pool on a manual clock.
+/// Region of daemons that each have a fair queue and exchange served counters in
+/// delayed heartbeats. Serves requests of one pool on a manual clock.
 class RegionFake {
 public:
     RegionFake(std::vector<DaemonSpec> daemons, const std::vector<TeamPolicy>& teams, std::uint64_t seed);
 
-    /// Keeps a backlog of \p team at \p daemon from now on, or stops to.
+    /// Starts or stops keeping a backlog of \p team at \p daemon.
     void setBacklogged(const std::string& team, const std::string& daemon, bool backlogged);
     /// Sets the mean cost of a team's requests in tokens.
     void setMeanCost(const std::string& team, double tokens) { m_meanCost[team] = tokens; }
-    /// Cuts or heals the heartbeats between two daemons.
+    /// Blocks or restores the heartbeats between two daemons.
     void setCut(const std::string& a, const std::string& b, bool cut);
     /// Restarts a daemon with an empty queue and a new incarnation.
     void restart(const std::string& daemon);
--- a/unittests/Admission/RegionalSharesTest.cpp
+++ b/unittests/Admission/RegionalSharesTest.cpp
@@ -8,7 +8,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-/// Teams with the daemons where they are backlogged and their fair shares.
+/// Team, the daemons where it is backlogged, and its fair share of the region.
 struct Expected {
     std::string team;
     std::vector<std::string> daemons;
@@ -46,7 +46,7 @@
     return specs;
 }
 
-TEST_CASE("a team that uses two cells gets its share once")
+TEST_CASE("a team that uses two daemons gets its share once")
 {
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
@@ -58,12 +58,12 @@
     }
 }
 
-TEST_CASE("shares hold between cells of very different capacity")
+TEST_CASE("teams get their shares from daemons of very different capacity")
 {
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
         RegionFake region({ { "x", 20, 20000 }, { "y", 2, 2000 } }, { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, seed);
-        // The small cell can give c no more than all it has.
+        // The share of c is limited by the capacity of the small daemon.
         std::vector<Expected> expected { { "a", { "x", "y" }, 5.0 / 11 }, { "b", { "x" }, 5.0 / 11 }, { "c", { "y" }, 1.0 / 11 } };
         setUp(region, expected);
         CHECK(worstShortfall(region, expected, 30s) < 0.05);
@@ -71,7 +71,7 @@
     }
 }
 
-TEST_CASE("shares hold between many daemons with slow heartbeats")
+TEST_CASE("teams get their shares from many daemons with slow heartbeats")
 {
     std::vector<std::string> all { "d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8" };
     for (std::uint64_t seed : { 1, 2, 3 }) {
@@ -86,7 +86,7 @@
     }
 }
 
-TEST_CASE("a team alone in one cell leaves the other to its rival")
+TEST_CASE("a team that has one daemon to itself leaves the other daemon to the second team")
 {
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
@@ -99,7 +99,7 @@
     }
 }
 
-TEST_CASE("teams that use all daemons alike are served alike in each")
+TEST_CASE("teams with the same backlog at all daemons get the same rate from each daemon")
 {
     std::vector<std::string> all { "x", "y", "z" };
     RegionFake region(daemonsNamed(all), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 6);
@@ -113,7 +113,7 @@
     }
 }
 
-TEST_CASE("after a cut of an hour no team starves")
+TEST_CASE("teams keep their shares after the heartbeats were blocked for an hour")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, 7);
     std::vector<Expected> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
@@ -121,7 +121,7 @@
     region.run(30s);
     region.setCut("x", "y", true);
     region.run(60min);
-    // Each side shares out what it can see.
+    // Each daemon divides its own capacity among the teams that it serves.
     region.resetServed();
     region.run(30s);
     CHECK(region.served("a", "x") / region.served("b", "x") == Approx(1).epsilon(0.05));
@@ -134,13 +134,14 @@
     CHECK(region.served("a", "x") / region.served("b", "x") == Approx(1).epsilon(0.1));
 }
 
-TEST_CASE("a team whose cell is lost gets its share in the other within seconds")
+TEST_CASE("a team whose daemon fails gets its share from the other daemon within seconds")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, 8);
     region.setBacklogged("a", "y", true);
     region.setBacklogged("b", "x", true);
     region.run(60s);
-    // The cell is gone without a word; the team's callers come here.
+    // Daemon y becomes unreachable without notice, and the clients of team a use
+    // daemon x instead.
     region.setCut("x", "y", true);
     region.setBacklogged("a", "y", false);
     region.setBacklogged("a", "x", true);
@@ -150,7 +151,7 @@
     CHECK(region.served("a", "x") / region.served("b", "x") == Approx(1).epsilon(0.1));
 }
 
-TEST_CASE("a restarted daemon keeps shares right")
+TEST_CASE("teams keep their shares after a daemon restarts")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 9);
     std::vector<Expected> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
@@ -160,7 +161,7 @@
     CHECK(worstShortfall(region, expected, 30s) < 0.05);
 }
 
-TEST_CASE("late, repeated and older counters are ignored")
+TEST_CASE("counters that decrease, repeat or belong to an older incarnation are ignored")
 {
     SharePolicy policy;
     RegionalShares shares(policy);
@@ -174,7 +175,7 @@
         return standing.shared ? local.level * std::exp(-standing.lean) - local.team : 0;
     };
     tell(2, 1000000);
-    // The first word only sets the baseline.
+    // The first counter only sets the baseline.
     CHECK(remoteRate() == 0);
     now += 10s;
     tell(2, 1010000);
@@ -184,15 +185,15 @@
     tell(1, 9000000);
     tell(2, 1010000);
     CHECK(remoteRate() == Approx(after));
-    // A new life counts from zero.
+    // A new incarnation counts from zero.
     now += 10s;
     tell(3, 10000);
     CHECK(remoteRate() == Approx(1000).epsilon(0.05));
-    // An hour's total after a cut counts as that hour's mean rate.
+    // A total that grew over an hour without reports counts as the mean rate of that hour.
     now += 1h;
     tell(3, 10000 + 3600 * 1000);
     CHECK(remoteRate() == Approx(1000).epsilon(0.05));
-    // Silence fades.
+    // Without reports the rate decays.
     now += 30s;
     CHECK(remoteRate() == 0);
 }
--- a/unittests/Admission/RetryWindowTest.cpp
+++ b/unittests/Admission/RetryWindowTest.cpp
@@ -17,7 +17,7 @@
     return retries;
 }
 
-TEST_CASE("after a crash half of what the requests before it have earned may be retried at once, and the rest as requests come")
+TEST_CASE("half of the retries earned in the last window are available at once, and the rest as requests arrive")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 4, 10s });
@@ -40,8 +40,9 @@
     CHECK(budget.hasRetry(now + 11s));
 }
 
-// Guards against entries that are too small a part of all to ever send again.
-TEST_CASE("entries with few requests have their retries, and all of them no more than they earn together")
+// Guards against entries with so small a share of the requests that they never get a
+// retry.
+TEST_CASE("each entry with few requests gets a retry, and all entries together stay within the ratio")
 {
     constexpr int entries = 295;
     constexpr double requestsPerSecond = 2;
@@ -68,7 +69,7 @@
     CHECK(*std::min_element(retries.begin(), retries.end()) > 0);
 }
 
-TEST_CASE("a request is sent a third time only while half of the budget is left")
+TEST_CASE("a further retry of a request is allowed only while half of the budget is left")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 10, 10s });
@@ -80,7 +81,7 @@
     CHECK(takeAll(budget, now) == 5);
 }
 
-TEST_CASE("without requests only the slack may be retried")
+TEST_CASE("without requests only the slack is available for retries")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 2, 10s });
@@ -91,8 +92,8 @@
     CHECK_FALSE(budget.tryRetry(now + 9s));
 }
 
-// Load that rises and falls, and every retry that is allowed.
-TEST_CASE("no window holds more retries than its requests, those of the window before, or of the span half a window before, allow")
+// The load alternates between peaks and low traffic, and every allowed retry is made.
+TEST_CASE("the retries of a window stay within the ratio of the requests of that window, the previous one or the one half a window earlier")
 {
     Random random(11);
     RetryWindow budget;
--- a/unittests/Admission/SlotsTest.cpp
+++ b/unittests/Admission/SlotsTest.cpp
@@ -24,13 +24,13 @@
     return 0;
 }
 
-TEST_CASE("slots follow demand above a floor")
+TEST_CASE("slots above the floor are divided by demand")
 {
     std::vector<EntryCredit> credits = divideSlots(32, { { "a", 100 }, { "b", 0 }, { "c", 5 } }, 2);
     CHECK(creditOf(credits, "a") == 25);
     CHECK(creditOf(credits, "b") == 2);
     CHECK(creditOf(credits, "c") == 5);
-    // What nobody demands is spread as headroom.
+    // Slots without demand are divided evenly.
     credits = divideSlots(30, { { "a", 2 }, { "b", 0 }, { "c", 1 } }, 1);
     CHECK(creditOf(credits, "a") == 11);
     CHECK(creditOf(credits, "b") == 10);
@@ -38,7 +38,7 @@
     CHECK(divideSlots(8, {}, 1).empty());
 }
 
-TEST_CASE("credits of equal views sum to the slots in any order")
+TEST_CASE("credits sum to the total slots and don't depend on the order of the demands")
 {
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
         INFO("seed " << seed);
@@ -61,7 +61,8 @@
     }
 }
 
-/// Entries that see each other's demands late and use delayed growth.
+/// Entries that receive a change of demand at different times and delay the growth
+/// of their credits.
 struct StaleViews {
     std::vector<EntryDemand> before;
     std::vector<EntryDemand> after;
@@ -77,7 +78,7 @@
     }
 };
 
-TEST_CASE("a change of demand doesn't overshoot while views differ")
+TEST_CASE("the used slots never exceed the total while entries have different views of the demand")
 {
     for (std::uint64_t seed = 1; seed <= 100; ++seed) {
         INFO("seed " << seed);
@@ -91,12 +92,12 @@
         }
         for (Duration at = 0s; at < 20s; at += 100ms)
             REQUIRE(views.used(32, start + at) <= 32);
-        // All slots are in use again once the growth is let through.
+        // After the grow delay all slots are in use again.
         CHECK(views.used(32, start + 20s) == 32);
     }
 }
 
-TEST_CASE("a dead entry's slots come back to the others")
+TEST_CASE("the slots of a dead entry are given to the others after the grow delay")
 {
     StaleViews views;
     TimePoint start { 1h };
@@ -105,24 +106,24 @@
     views.seesAfterFrom = { { "a", start + 3s }, { "b", start + 4s } };
     CHECK(views.used(30, start) == 20);
     CHECK(views.used(30, start + 4s) == 20);
-    // The dead entry's work may still run; its slots are not given out at once.
+    // Requests of the dead entry may still run, so its slots are not given out at once.
     CHECK(views.used(30, start + 4900ms) == 20);
     CHECK(views.used(30, start + 6s) == 30);
 }
 
-TEST_CASE("long work leaves the reserved slots, short work may take all")
+TEST_CASE("long work can't use the reserved slots, short work can use all slots")
 {
     CHECK(mayStart(WorkKind::Long, { 10, 0, 6 }, 3));
     CHECK_FALSE(mayStart(WorkKind::Long, { 10, 0, 7 }, 3));
     CHECK(mayStart(WorkKind::Short, { 10, 0, 7 }, 3));
     CHECK(mayStart(WorkKind::Short, { 10, 9, 0 }, 3));
     CHECK_FALSE(mayStart(WorkKind::Short, { 10, 3, 7 }, 3));
-    // A single slot is nobody's reserve.
+    // A pool of one slot reserves none.
     CHECK(reservedSlots(1, 5, {}) == 0);
     CHECK(reservedSlots(2, 0, {}) == 1);
 }
 
-TEST_CASE("the reserve follows the short work seen lately")
+TEST_CASE("the reserved slots follow the recent demand of short work")
 {
     SlotReservation reservation;
     TimePoint now { 1h };
@@ -131,7 +132,7 @@
     reservation.noteShort(2, 3, now);
     CHECK_FALSE(reservation.mayStart(WorkKind::Long, use, now));
     CHECK(reservation.mayStart(WorkKind::Long, { 20, 0, 13 }, now));
-    // After some minutes without any, only the floor of 2 in 20 is kept.
+    // After some minutes without short work, only the min of 2 in 20 slots is reserved.
     now += 5min;
     CHECK(reservation.mayStart(WorkKind::Long, { 20, 0, 17 }, now));
     CHECK_FALSE(reservation.mayStart(WorkKind::Long, { 20, 0, 18 }, now));
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -16,19 +16,19 @@
     return demand;
 }
 
-TEST_CASE("a request may wait for the most of its latency target, less what an idle endpoint takes")
+TEST_CASE("the max wait is most of the latency target minus the time to first byte of an idle endpoint")
 {
     CHECK(longestWait(fresh(), 100ms) > 300ms);
     CHECK(longestWait(fresh(), 100ms) < 500ms);
     CHECK(longestWait(fresh(), 400ms) < longestWait(fresh(), 100ms));
-    // An endpoint that is never in time still serves.
+    // Requests may wait for an endpoint that can't meet the target even when idle.
     CHECK(longestWait(fresh(), 10s) > 50ms);
     WaitDemand unstated = fresh();
     unstated.latencyTarget = 0ms;
     CHECK(longestWait(unstated, 100ms) > 300ms);
 }
 
-TEST_CASE("room is left to more urgent kinds, and to requests that are not late already")
+TEST_CASE("less urgent requests and retries of refused clients have a shorter max wait")
 {
     WaitDemand lessUrgent = fresh();
     lessUrgent.hasMoreUrgent = true;
@@ -41,7 +41,7 @@
     CHECK(longestWait(forwarded, 100ms) == longestWait(fresh(), 100ms));
 }
 
-TEST_CASE("refused clients come back one after the other, and within the time that they wait")
+TEST_CASE("retry-after times are spread one after the other and stay within the clients' max wait")
 {
     ReturnSchedule schedule;
     Random random(3);
@@ -62,7 +62,7 @@
 
 namespace {
 
-/// What became of the requests of an overload.
+/// Numbers of requests by outcome in a simulated overload.
 struct Served {
     int inTime { 0 };
     int afterReturn { 0 };
@@ -72,8 +72,9 @@
 
 } // namespace
 
-/// Plays ten seconds of which the first \p overload bring twice what one
-/// endpoint serves (one request takes 10 ms); each client comes back once.
+/// Simulates ten seconds of load on one endpoint that takes 10 ms per request. During
+/// the first \p overload the load is twice the capacity. Each refused client retries
+/// once.
 static Served play(Duration overload, bool isLimited)
 {
     struct Return {
@@ -118,10 +119,10 @@
     return served;
 }
 
-// The figures: twice the capacity is what the fiercest bursts bring to a region,
-// for some seconds. A client with a deadline of five seconds comes back 1.7 s later
-// at the most, so that those who are sent back in the last 1.7 s can be served.
-TEST_CASE("in a burst of twice what can be served, what is taken is in time")
+// The strongest bursts bring twice the capacity to a region for some seconds. A client
+// with a timeout of five seconds retries after at most 1.7 s, so clients that are
+// refused in the last 1.7 s of a burst can be served.
+TEST_CASE("in a burst of twice the capacity, accepted first attempts meet the latency target")
 {
     Served served = play(3s, true);
     Served unlimited = play(3s, false);
@@ -130,7 +131,7 @@
     CHECK(served.inTime > unlimited.inTime + 200);
 }
 
-TEST_CASE("of those who are sent back in a short burst most are served when they return")
+TEST_CASE("most clients that are refused in a short burst are served when they retry")
 {
     Served served = play(1'200ms, true);
     CAPTURE(served.inTime, served.afterReturn, served.refusedTwice);
@@ -138,10 +139,10 @@
     CHECK(served.afterReturn > 2 * served.refusedTwice);
 }
 
-TEST_CASE("in an overload that lasts, who comes back doesn't push out those who could still be in time")
+TEST_CASE("in a long overload, retries don't displace requests that can still meet the latency target")
 {
     Served served = play(9s, true);
-    // A hundred a second can be served.
+    // The endpoint can serve a hundred requests per second.
     CHECK(served.inTime > 650);
     CHECK(served.late == 0);
 }
