--- a/include/catkinwing/Admission/DecayingRate.h
+++ b/include/catkinwing/Admission/DecayingRate.h
@@ -14,15 +14,15 @@
     void addSpread(double amount, TimePoint since, TimePoint now);
     /// Returns the smoothed rate per second.
     double rate(TimePoint now) const;
-    /// Returns the rate without decay for the first \p silence after the last count,
+    /// Returns the rate without decay for the first \p holdTime after the last count,
     /// and decayed from then on.
-    double rateHeld(TimePoint now, Duration silence) const;
+    double heldRate(TimePoint now, Duration holdTime) const;
 
 private:
     void decayTo(TimePoint now);
 
     double m_smoothing;
-    double m_mass { 0 };
+    double m_decayedSum { 0 };
     TimePoint m_at {};
 };
 
--- a/include/catkinwing/Admission/OutputEstimator.h
+++ b/include/catkinwing/Admission/OutputEstimator.h
@@ -40,7 +40,7 @@
     struct Entry {
         OutputKey key;
         double mean { 0 };
-        double answers { 0 };
+        double responses { 0 };
     };
     using Entries = std::list<Entry>;
 
--- a/include/catkinwing/Admission/RegionalShares.h
+++ b/include/catkinwing/Admission/RegionalShares.h
@@ -12,12 +12,12 @@
 /// Recent rates at which this daemon served a pool, in tokens per second.
 struct LocalService {
     /// Rate served to the team in question.
-    double team { 0 };
+    double teamRate { 0 };
     /// Rate served to all teams.
-    double all { 0 };
+    double totalRate { 0 };
     /// Rate that a backlogged team of the same weight gets here if no other daemon
     /// serves it.
-    double level { 0 };
+    double fairRate { 0 };
 };
 
 /// Service that a team gets in the region relative to its fair share, computed by
@@ -25,17 +25,17 @@
 struct RegionalStanding {
     /// This daemon's share of the capacity of all daemons that serve the team; 1
     /// if no other daemon does.
-    double part { 1 };
+    double capacityShare { 1 };
     /// Logarithm of the rate that a team of this weight gets here divided by the
     /// rate that the team gets in the region. Negative if the team gets more than
     /// its share. Bounded.
-    double lean { 0 };
+    double logDeficit { 0 };
     /// Whether another daemon serves the team.
-    bool shared { false };
+    bool isShared { false };
 };
 
-/// Fraction of a team's weight that applies in this daemon. Adapts at each refresh
-/// while the team is backlogged here, and decays to the default while it isn't.
+/// Fraction of a team's weight that applies in this daemon. The fraction adapts at each
+/// refresh while the team is backlogged here, and the adaptation decays while it isn't.
 class WeightShift {
 public:
     /// Updates the shift from the standing of a backlogged team.
@@ -70,7 +70,7 @@
     struct Source {
         std::uint64_t incarnation { 0 };
         DecayingRate total;
-        TimePoint heardAt {};
+        TimePoint reportedAt {};
     };
     struct Counter {
         std::uint64_t incarnation { 0 };
--- a/include/catkinwing/Admission/RetryWindow.h
+++ b/include/catkinwing/Admission/RetryWindow.h
@@ -67,7 +67,7 @@
     std::uint64_t sum(std::uint64_t Step::*member, std::int64_t first, std::int64_t last) const;
     /// Returns the retries allowed in the window that begins with \p step.
     double allowedFrom(std::int64_t step) const;
-    double left(TimePoint now) const;
+    double remaining(TimePoint now) const;
 
     /// Length of a step, the resolution of the counts.
     static constexpr std::chrono::milliseconds stepLength { 500 };
--- a/include/catkinwing/Admission/SlotReservation.h
+++ b/include/catkinwing/Admission/SlotReservation.h
@@ -19,20 +19,20 @@
     /// Fraction of the slots that is reserved even without recent short work.
     double minReserve { 0.1 };
     /// Time constant with which the peak of the short demand decays.
-    Duration memory { std::chrono::seconds(60) };
+    Duration decayTime { std::chrono::seconds(60) };
 };
 
 /// Decaying peak of the number of slots that short work needed.
 class ShortDemand {
 public:
     /// Records that short work used or waited for \p slots at \p now.
-    void note(std::size_t slots, TimePoint now, Duration memory);
+    void record(std::size_t slots, TimePoint now, Duration decayTime);
     /// Returns the decayed peak.
-    double peak(TimePoint now, Duration memory) const;
+    double peak(TimePoint now, Duration decayTime) const;
 
 private:
     double m_peak { 0 };
-    TimePoint m_notedAt {};
+    TimePoint m_recordedAt {};
 };
 
 /// Returns the slots reserved for short work: its decayed peak plus one spare slot,
--- a/include/catkinwing/Admission/WaitLimit.h
+++ b/include/catkinwing/Admission/WaitLimit.h
@@ -28,9 +28,9 @@
 class ReturnSchedule {
 public:
     /// Books the next retry time and returns the delay until then. \p work is the
-    /// time that all endpoints together take for the request; \p longest is the max
+    /// time that all endpoints together take for the request; \p maxDelay is the max
     /// time that the client waits.
-    std::chrono::milliseconds book(Duration work, std::chrono::milliseconds longest, TimePoint now, Random& random);
+    std::chrono::milliseconds book(Duration work, std::chrono::milliseconds maxDelay, TimePoint now, Random& random);
 
 private:
     TimePoint m_next {};
--- a/lib/Admission/DecayingRate.cpp
+++ b/lib/Admission/DecayingRate.cpp
@@ -15,7 +15,7 @@
 void DecayingRate::add(double amount, TimePoint now)
 {
     decayTo(now);
-    m_mass += amount;
+    m_decayedSum += amount;
 }
 
 void DecayingRate::addSpread(double amount, TimePoint since, TimePoint now)
@@ -25,32 +25,32 @@
         add(amount, now);
         return;
     }
-    // Adds the decayed mass of a steady rate over the span. It is at most rate x
+    // Adds the decayed sum of a steady rate over the span. It is at most rate x
     // smoothing for a span of any length, so the effect of a large amount from a
     // long span fades as quickly as that of any other.
     decayTo(now);
-    m_mass += amount / span * m_smoothing * -std::expm1(-span / m_smoothing);
+    m_decayedSum += amount / span * m_smoothing * -std::expm1(-span / m_smoothing);
 }
 
 double DecayingRate::rate(TimePoint now) const
 {
     // Common case: the rate of a peer, which is held between heartbeats.
     if (now <= m_at)
-        return m_mass / m_smoothing;
+        return m_decayedSum / m_smoothing;
     double age = Seconds(now - m_at).count();
-    return m_mass * std::exp(-age / m_smoothing) / m_smoothing;
+    return m_decayedSum * std::exp(-age / m_smoothing) / m_smoothing;
 }
 
-double DecayingRate::rateHeld(TimePoint now, Duration silence) const
+double DecayingRate::heldRate(TimePoint now, Duration holdTime) const
 {
-    return rate(std::max(m_at, now - silence));
+    return rate(std::max(m_at, now - holdTime));
 }
 
 void DecayingRate::decayTo(TimePoint now)
 {
     if (now <= m_at)
         return;
-    m_mass *= std::exp(-Seconds(now - m_at).count() / m_smoothing);
+    m_decayedSum *= std::exp(-Seconds(now - m_at).count() / m_smoothing);
     m_at = now;
 }
 
--- a/lib/Admission/DrainRate.cpp
+++ b/lib/Admission/DrainRate.cpp
@@ -7,12 +7,12 @@
 using Seconds = std::chrono::duration<double>;
 
 /// Time constant of the smoothing, in busy seconds.
-static constexpr double smoothing = 5;
+static constexpr double smoothingSeconds = 5;
 /// Work that starts sooner than this after the queue became non-empty did not wait.
-static constexpr Duration leastWait = std::chrono::milliseconds(1);
+static constexpr Duration minWait = std::chrono::milliseconds(1);
 /// Busy seconds needed before a rate is returned: a prediction from fewer is too
 /// uncertain to refuse requests on.
-static constexpr double leastBusy = 1;
+static constexpr double minBusySeconds = 1;
 
 void DrainRate::setBusy(bool busy, TimePoint now)
 {
@@ -28,7 +28,7 @@
 {
     // Counting work that did not wait would add tokens without busy time, and every
     // request that finds a free slot would raise the rate.
-    if (!m_busy || now - m_busySince < leastWait)
+    if (!m_busy || now - m_busySince < minWait)
         return;
     advance(now);
     m_tokens += tokens;
@@ -38,7 +38,7 @@
 {
     DrainRate current = *this;
     current.advance(now);
-    if (current.m_busySeconds < leastBusy)
+    if (current.m_busySeconds < minBusySeconds)
         return std::nullopt;
     return current.m_tokens / current.m_busySeconds;
 }
@@ -49,9 +49,9 @@
         return;
     if (m_busy) {
         double span = Seconds(now - m_at).count();
-        double kept = std::exp(-span / smoothing);
-        m_tokens *= kept;
-        m_busySeconds = m_busySeconds * kept + smoothing * (1 - kept);
+        double decay = std::exp(-span / smoothingSeconds);
+        m_tokens *= decay;
+        m_busySeconds = m_busySeconds * decay + smoothingSeconds * (1 - decay);
     }
     m_at = now;
 }
--- a/lib/Admission/OutputEstimator.cpp
+++ b/lib/Admission/OutputEstimator.cpp
@@ -8,10 +8,10 @@
 namespace catkinwing {
 
 /// Weight of the configured prior, in responses.
-static constexpr double priorAnswers = 4;
+static constexpr double priorResponses = 4;
 /// Max weight of the past responses: each new response has a weight of at least
-/// 1 / maxAnswers in the mean.
-static constexpr double maxAnswers = 32;
+/// 1 / maxResponses in the mean.
+static constexpr double maxResponses = 32;
 
 std::size_t OutputKeyHash::operator()(const OutputKey& key) const
 {
@@ -32,9 +32,9 @@
     m_entries.splice(m_entries.begin(), m_entries, found->second);
     const Entry& entry = *found->second;
     // The weight of the prior decreases with each response and is zero once
-    // maxAnswers responses are recorded.
-    double weight = priorAnswers * std::max(0.0, 1 - entry.answers / maxAnswers);
-    return (weight * prior + entry.answers * entry.mean) / (weight + entry.answers);
+    // maxResponses responses are recorded.
+    double weight = priorResponses * std::max(0.0, 1 - entry.responses / maxResponses);
+    return (weight * prior + entry.responses * entry.mean) / (weight + entry.responses);
 }
 
 void OutputEstimator::learn(const OutputKey& key, double outputTokens)
@@ -50,8 +50,8 @@
     }
     m_entries.splice(m_entries.begin(), m_entries, found->second);
     Entry& entry = *found->second;
-    entry.answers = std::min(entry.answers + 1, maxAnswers);
-    entry.mean += (outputTokens - entry.mean) / entry.answers;
+    entry.responses = std::min(entry.responses + 1, maxResponses);
+    entry.mean += (outputTokens - entry.mean) / entry.responses;
 }
 
 } // namespace catkinwing
--- a/lib/Admission/RegionalShares.cpp
+++ b/lib/Admission/RegionalShares.cpp
@@ -7,7 +7,7 @@
 namespace catkinwing {
 
 /// Time without a report after which a source is removed.
-static constexpr Duration maxSilence = std::chrono::minutes(2);
+static constexpr Duration maxReportAge = std::chrono::minutes(2);
 
 // A team that uses several daemons of a region must get its share once in total, not
 // once per daemon. Two simpler designs fail; the commits and DECISIONS have the
@@ -26,9 +26,9 @@
 // So the weight is split by the capacity of the daemons that serve the team, and the
 // split is shifted on a logarithmic scale by the team's standing:
 //
-//        lean = log(rate that its weight gets here / its rate in the region)
-//        shift' = lean / adaptTime - shift / shiftMemory
-//        weight here = weight x part x exp(shift + lean)
+//        logDeficit = log(rate that its weight gets here / its rate in the region)
+//        shift' = logDeficit / adaptTime - shift / shiftDecayTime
+//        weight here = weight x capacityShare x exp(shift + logDeficit)
 //
 // - Each daemon scales the weight by a factor instead of adding tokens, so all
 //   daemons together change the team's service by that factor, for any number of
@@ -36,7 +36,7 @@
 // - The shift depends on rates that are common to all teams of a daemon or to all
 //   daemons of a team, so random variation can't move two teams in opposite
 //   directions. The decay of the shift pulls the split back to the capacities. That
-//   costs an error of shift x adaptTime / shiftMemory: 4 % where a team should get
+//   costs an error of shift x adaptTime / shiftDecayTime: 4 % where a team should get
 //   almost nothing from a daemon.
 // - Where a team should leave a daemon, its weight there decreases exponentially.
 // - Only smoothed rates are used, never totals, so a partition or restart leaves no
@@ -46,41 +46,41 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Seconds in which a lean of one shifts the weight by a factor of e. About equal to
-/// the delay with which a lean is measured; a third of this value oscillates with
+/// Seconds in which a log deficit of one shifts the weight by a factor of e. About equal
+/// to the delay with which a deficit is measured; a third of this value oscillates with
 /// heartbeats of one second.
 static constexpr double adaptTime = 1.5;
 /// Time constant in seconds with which a shift decays.
-static constexpr double shiftMemory = 100;
-/// Time constant in seconds with which the shift of a team decays that isn't backlogged.
-static constexpr double idleMemory = 5;
+static constexpr double shiftDecayTime = 100;
+/// Time constant in seconds with which a shift decays while its team isn't backlogged.
+static constexpr double idleDecayTime = 5;
 /// Max seconds between two refreshes during which a team counts as backlogged.
-static constexpr double longestStep = 1;
-/// Limits of lean and shift. With both at their min, a team keeps about 1 % of its
-/// part of the weight, from which it recovers within seconds.
-static constexpr double mostLean = 1.5;
-static constexpr double leastShift = -3;
-static constexpr double mostShift = 3;
-static constexpr double mostFraction = 1.5;
+static constexpr double maxStep = 1;
+/// Limits of log deficit and shift. With both at their min, a team keeps about 1 % of its
+/// capacity share of the weight, from which it recovers within seconds.
+static constexpr double maxLogDeficit = 1.5;
+static constexpr double minShift = -3;
+static constexpr double maxShift = 3;
+static constexpr double maxFraction = 1.5;
 /// Min capacity of this daemon, as a fraction of the mean of the others. An idle
 /// daemon serves nothing but still has capacity.
-static constexpr double leastCapacity = 0.1;
+static constexpr double minCapacityFraction = 0.1;
 
 void WeightShift::adapt(const RegionalStanding& standing, TimePoint now)
 {
     double span = Seconds(now - m_adaptedAt).count();
-    double step = std::min(span, longestStep);
+    double step = std::min(span, maxStep);
     m_adaptedAt = now;
-    m_shift *= std::exp(-(span - step) / idleMemory);
-    m_shift += step * (standing.lean / adaptTime - m_shift / shiftMemory);
-    m_shift = std::clamp(m_shift, leastShift, mostShift);
+    m_shift *= std::exp(-(span - step) / idleDecayTime);
+    m_shift += step * (standing.logDeficit / adaptTime - m_shift / shiftDecayTime);
+    m_shift = std::clamp(m_shift, minShift, maxShift);
 }
 
 double WeightShift::fraction(const RegionalStanding& standing) const
 {
-    if (!standing.shared)
+    if (!standing.isShared)
         return 1;
-    return std::min(mostFraction, standing.part * std::exp(m_shift + standing.lean));
+    return std::min(maxFraction, standing.capacityShare * std::exp(m_shift + standing.logDeficit));
 }
 
 RegionalShares::RegionalShares(const SharePolicy& policy)
@@ -95,7 +95,7 @@
     if (source.incarnation < known.incarnation)
         return;
     known.incarnation = source.incarnation;
-    known.heardAt = now;
+    known.reportedAt = now;
 
     auto [entry, isNew] = m_teams[counter.team].try_emplace(source.name, Counter { source.incarnation, counter.tokens, now, {}, DecayingRate(m_policy.rateSmoothing) });
     if (isNew)
@@ -125,12 +125,12 @@
 
 void RegionalShares::prune(TimePoint now)
 {
-    std::vector<std::string> silent;
+    std::vector<std::string> expired;
     for (const auto& [name, source] : m_sources) {
-        if (now - source.heardAt > maxSilence)
-            silent.push_back(name);
+        if (now - source.reportedAt > maxReportAge)
+            expired.push_back(name);
     }
-    for (const std::string& name : silent)
+    for (const std::string& name : expired)
         forget(name);
 }
 
@@ -144,23 +144,23 @@
     double capacity = 0;
     double daemons = 0;
     for (const auto& [name, counter] : found->second) {
-        remote += counter.rate.rateHeld(now, m_policy.peerSilence);
+        remote += counter.rate.heldRate(now, m_policy.peerSilence);
         bool serves = now - counter.servedAt <= m_policy.peerIdle && now - counter.at <= m_policy.peerSilence;
         if (!serves)
             continue;
-        capacity += m_sources.at(name).total.rateHeld(now, m_policy.peerSilence);
+        capacity += m_sources.at(name).total.heldRate(now, m_policy.peerSilence);
         ++daemons;
     }
     // A rate below one token per second doesn't count as use of another daemon.
     if (remote < 1)
         return standing;
-    standing.shared = true;
+    standing.isShared = true;
     if (daemons > 0) {
-        double own = std::max(local.all, leastCapacity * capacity / daemons);
-        standing.part = own / std::max(1.0, own + capacity);
+        double own = std::max(local.totalRate, minCapacityFraction * capacity / daemons);
+        standing.capacityShare = own / std::max(1.0, own + capacity);
     }
-    double lean = std::log(std::max(1.0, local.level) / (local.team + remote));
-    standing.lean = std::clamp(lean, -mostLean, mostLean);
+    double logDeficit = std::log(std::max(1.0, local.fairRate) / (local.teamRate + remote));
+    standing.logDeficit = std::clamp(logDeficit, -maxLogDeficit, maxLogDeficit);
     return standing;
 }
 
--- a/lib/Admission/RetryWindow.cpp
+++ b/lib/Admission/RetryWindow.cpp
@@ -20,7 +20,7 @@
 
 /// Max time from the decision to retry until the retry arrives, with a new connection.
 /// The retry also counts in windows that begin within this time.
-static constexpr std::chrono::milliseconds longestWay { 1'000 };
+static constexpr std::chrono::milliseconds maxSendDelay { 1'000 };
 
 static std::int64_t stepNumber(TimePoint time, std::chrono::milliseconds stepLength)
 {
@@ -30,7 +30,7 @@
 RetryWindow::Step& RetryWindow::stepAt(TimePoint now)
 {
     std::int64_t number = stepNumber(now, stepLength);
-    std::int64_t oldest = number - 2 * stepsPerWindow() - longestWay / stepLength;
+    std::int64_t oldest = number - 2 * stepsPerWindow() - maxSendDelay / stepLength;
     while (!m_steps.empty() && m_steps.front().number < oldest)
         m_steps.pop_front();
     if (m_steps.empty() || m_steps.back().number < number)
@@ -50,21 +50,22 @@
 
 double RetryWindow::allowedFrom(std::int64_t step) const
 {
-    auto earning = static_cast<double>(sum(&Step::requests, step - stepsPerWindow(), step + stepsPerWindow()));
-    return m_allowance.ratio * earning / 2 + m_allowance.slack + m_phase;
+    auto requests = static_cast<double>(sum(&Step::requests, step - stepsPerWindow(), step + stepsPerWindow()));
+    return m_allowance.ratio * requests / 2 + m_allowance.slack + m_phase;
 }
 
-// Returns the min over all windows that a retry at \p now falls into.
-double RetryWindow::left(TimePoint now) const
+// Returns the min of the remaining retries over all windows that a retry at \p now
+// can fall into.
+double RetryWindow::remaining(TimePoint now) const
 {
     std::int64_t current = stepNumber(now, stepLength);
-    std::int64_t first = current - stepsPerWindow() - longestWay / stepLength + 1;
-    double least = std::numeric_limits<double>::max();
+    std::int64_t first = current - stepsPerWindow() - maxSendDelay / stepLength + 1;
+    double fewest = std::numeric_limits<double>::max();
     for (std::int64_t step = first; step <= current; ++step) {
         auto spent = static_cast<double>(sum(&Step::retries, step, current + 1));
-        least = std::min(least, allowedFrom(step) - spent);
+        fewest = std::min(fewest, allowedFrom(step) - spent);
     }
-    return least;
+    return fewest;
 }
 
 void RetryWindow::noteRequest(TimePoint now)
@@ -75,9 +76,9 @@
 
 bool RetryWindow::hasRetry(TimePoint now, RetryOrder order) const
 {
-    double remains = left(now) - 1;
-    double spared = order == RetryOrder::First ? 0 : allowedFrom(stepNumber(now, stepLength)) / 2;
-    return remains >= spared;
+    double remainingAfter = remaining(now) - 1;
+    double reserved = order == RetryOrder::First ? 0 : allowedFrom(stepNumber(now, stepLength)) / 2;
+    return remainingAfter >= reserved;
 }
 
 bool RetryWindow::tryRetry(TimePoint now, RetryOrder order)
--- a/lib/Admission/SlotDivision.cpp
+++ b/lib/Admission/SlotDivision.cpp
@@ -19,30 +19,30 @@
 
 using Slots = std::vector<std::size_t>;
 
-static Slots equalParts(std::size_t total, std::size_t count)
+static Slots equalShares(std::size_t total, std::size_t count)
 {
-    Slots parts(count, total / count);
+    Slots shares(count, total / count);
     for (std::size_t i = 0; i < total % count; ++i)
-        ++parts[i];
-    return parts;
+        ++shares[i];
+    return shares;
 }
 
-/// Divides \p left slots evenly among the entries with unmet demand, up to the demand
-/// of each entry. Returns the slots that remain.
-static std::size_t fillToDemand(Slots& credits, const std::vector<EntryDemand>& demands, std::size_t left)
+/// Divides \p remaining slots evenly among the entries with unmet demand, up to the
+/// demand of each entry. Returns the slots that remain.
+static std::size_t fillToDemand(Slots& credits, const std::vector<EntryDemand>& demands, std::size_t remaining)
 {
     std::vector<std::size_t> order(credits.size());
     std::iota(order.begin(), order.end(), std::size_t { 0 });
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) { return demands[a].slots < demands[b].slots; });
-    std::size_t sharers = order.size();
+    std::size_t entriesLeft = order.size();
     for (std::size_t index : order) {
         std::size_t unmet = demands[index].slots > credits[index] ? demands[index].slots - credits[index] : 0;
-        std::size_t given = std::min(unmet, (left + sharers - 1) / sharers);
-        credits[index] += given;
-        left -= given;
-        --sharers;
+        std::size_t granted = std::min(unmet, (remaining + entriesLeft - 1) / entriesLeft);
+        credits[index] += granted;
+        remaining -= granted;
+        --entriesLeft;
     }
-    return left;
+    return remaining;
 }
 
 std::vector<EntryCredit> divideSlots(std::size_t totalSlots, std::vector<EntryDemand> demands, std::size_t floor)
@@ -51,15 +51,15 @@
         return {};
     std::sort(demands.begin(), demands.end(), [](const EntryDemand& a, const EntryDemand& b) { return a.entry < b.entry; });
     std::size_t count = demands.size();
-    Slots credits = equalParts(std::min(totalSlots, floor * count), count);
-    std::size_t left = totalSlots - std::min(totalSlots, floor * count);
-    left = fillToDemand(credits, demands, left);
-    Slots spare = equalParts(left, count);
+    Slots credits = equalShares(std::min(totalSlots, floor * count), count);
+    std::size_t remaining = totalSlots - std::min(totalSlots, floor * count);
+    remaining = fillToDemand(credits, demands, remaining);
+    Slots spareSlots = equalShares(remaining, count);
 
     std::vector<EntryCredit> result;
     result.reserve(count);
     for (std::size_t i = 0; i < count; ++i)
-        result.push_back({ demands[i].entry, credits[i] + spare[i] });
+        result.push_back({ demands[i].entry, credits[i] + spareSlots[i] });
     return result;
 }
 
--- a/unittests/Admission/BudgetsTest.cpp
+++ b/unittests/Admission/BudgetsTest.cpp
@@ -48,7 +48,7 @@
     CHECK(estimator.expectedOutput(b, 500) == Approx(500));
 }
 
-TEST_CASE("retries never exceed a tenth of the requests")
+TEST_CASE("retries never exceed a tenth of the requests, or a tenth since the failures began plus one burst")
 {
     Random random(31);
     RetryBudget budget;
--- a/unittests/Admission/RegionFake.cpp
+++ b/unittests/Admission/RegionFake.cpp
@@ -40,7 +40,7 @@
         daemon.queue->configure(m_teams, now());
         // A random phase keeps the heartbeats of the daemons from coinciding.
         Duration phase = std::chrono::milliseconds(m_random.below(500));
-        m_scheduler.callAfter(phase, [this, name] { scheduleBeat(name); });
+        m_scheduler.callAfter(phase, [this, name] { scheduleHeartbeats(name); });
     }
 }
 
@@ -55,12 +55,12 @@
     startWork(daemon);
 }
 
-void RegionFake::setCut(const std::string& a, const std::string& b, bool cut)
+void RegionFake::setPartitioned(const std::string& a, const std::string& b, bool partitioned)
 {
-    if (cut)
-        m_cuts.insert({ a, b });
+    if (partitioned)
+        m_partitions.insert({ a, b });
     else
-        m_cuts.erase({ a, b });
+        m_partitions.erase({ a, b });
 }
 
 void RegionFake::restart(const std::string& name)
@@ -98,7 +98,7 @@
         daemon.served.clear();
 }
 
-void RegionFake::fill(Daemon& daemon)
+void RegionFake::fillBacklog(Daemon& daemon)
 {
     for (const std::string& team : daemon.backlogged) {
         while (daemon.queue->teamSize(team) < backlogDepth) {
@@ -111,12 +111,12 @@
 
 void RegionFake::startWork(Daemon& daemon)
 {
-    fill(daemon);
+    fillBacklog(daemon);
     while (daemon.busy < daemon.spec.slots) {
         std::optional<QueuedRequest> next = daemon.queue->pickNext([](const QueuedRequest&) { return true; }, now());
         if (!next)
             return;
-        fill(daemon);
+        fillBacklog(daemon);
         ++daemon.busy;
         daemon.served[next->team] += next->cost;
         double slotRate = daemon.spec.tokensPerSecond / static_cast<double>(daemon.spec.slots);
@@ -128,19 +128,19 @@
     }
 }
 
-void RegionFake::scheduleBeat(const std::string& name)
+void RegionFake::scheduleHeartbeats(const std::string& name)
 {
-    beat(name);
-    m_scheduler.callAfter(heartbeat, [this, name] { scheduleBeat(name); });
+    sendHeartbeats(name);
+    m_scheduler.callAfter(heartbeat, [this, name] { scheduleHeartbeats(name); });
 }
 
-void RegionFake::beat(const std::string& name)
+void RegionFake::sendHeartbeats(const std::string& name)
 {
     Daemon& daemon = m_daemons.at(name);
     daemon.queue->refreshShares(now());
     ServiceSource source { name, daemon.incarnation };
     for (const auto& [peer, unused] : m_daemons) {
-        if (peer == name || m_cuts.count({ name, peer }))
+        if (peer == name || m_partitions.count({ name, peer }))
             continue;
         std::string to = peer;
         m_scheduler.callAfter(delay, [this, source, to, counters = daemon.queue->servedCounters()] {
--- a/unittests/Admission/RegionFake.h
+++ b/unittests/Admission/RegionFake.h
@@ -29,7 +29,7 @@
     /// Sets the mean cost of a team's requests in tokens.
     void setMeanCost(const std::string& team, double tokens) { m_meanCost[team] = tokens; }
     /// Blocks or restores the heartbeats between two daemons.
-    void setCut(const std::string& a, const std::string& b, bool cut);
+    void setPartitioned(const std::string& a, const std::string& b, bool partitioned);
     /// Restarts a daemon with an empty queue and a new incarnation.
     void restart(const std::string& daemon);
     void run(Duration span);
@@ -53,17 +53,17 @@
         std::map<std::string, double> served;
     };
 
-    void fill(Daemon& daemon);
+    void fillBacklog(Daemon& daemon);
     void startWork(Daemon& daemon);
-    void beat(const std::string& name);
-    void scheduleBeat(const std::string& name);
+    void sendHeartbeats(const std::string& name);
+    void scheduleHeartbeats(const std::string& name);
 
     ManualScheduler m_scheduler;
     Random m_random;
     std::vector<TeamPolicy> m_teams;
     std::map<std::string, double> m_meanCost;
     std::map<std::string, Daemon> m_daemons;
-    std::set<std::set<std::string>> m_cuts;
+    std::set<std::set<std::string>> m_partitions;
     RequestId m_lastId { 0 };
 };
 
--- a/unittests/Admission/RegionalSharesTest.cpp
+++ b/unittests/Admission/RegionalSharesTest.cpp
@@ -15,7 +15,7 @@
     double share;
 };
 
-static void setUp(RegionFake& region, const std::vector<Expected>& expected)
+static void startBacklogs(RegionFake& region, const std::vector<Expected>& expected)
 {
     for (const Expected& entry : expected) {
         for (const std::string& daemon : entry.daemons)
@@ -52,7 +52,7 @@
         INFO("seed " << seed);
         RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, seed);
         std::vector<Expected> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
-        setUp(region, expected);
+        startBacklogs(region, expected);
         CHECK(worstShortfall(region, expected, 30s) < 0.05);
         CHECK(worstShortfall(region, expected, 30s) < 0.05);
     }
@@ -65,7 +65,7 @@
         RegionFake region({ { "x", 20, 20000 }, { "y", 2, 2000 } }, { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, seed);
         // The share of c is limited by the capacity of the small daemon.
         std::vector<Expected> expected { { "a", { "x", "y" }, 5.0 / 11 }, { "b", { "x" }, 5.0 / 11 }, { "c", { "y" }, 1.0 / 11 } };
-        setUp(region, expected);
+        startBacklogs(region, expected);
         CHECK(worstShortfall(region, expected, 30s) < 0.05);
         CHECK(worstShortfall(region, expected, 30s) < 0.05);
     }
@@ -80,7 +80,7 @@
         region.heartbeat = 1s;
         region.delay = 1s;
         std::vector<Expected> expected { { "a", all, 0.1 }, { "b", all, 0.2 }, { "c", all, 0.7 } };
-        setUp(region, expected);
+        startBacklogs(region, expected);
         for (int window = 0; window < 4; ++window)
             CHECK(worstShortfall(region, expected, 30s) < 0.05);
     }
@@ -92,7 +92,7 @@
         INFO("seed " << seed);
         RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, seed);
         std::vector<Expected> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
-        setUp(region, expected);
+        startBacklogs(region, expected);
         CHECK(worstShortfall(region, expected, 30s) < 0.1);
         CHECK(worstShortfall(region, expected, 30s) < 0.05);
         CHECK(worstShortfall(region, expected, 30s) < 0.05);
@@ -103,7 +103,7 @@
 {
     std::vector<std::string> all { "x", "y", "z" };
     RegionFake region(daemonsNamed(all), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 6);
-    setUp(region, { { "a", all, 1.0 / 3 }, { "b", all, 1.0 / 3 }, { "c", all, 1.0 / 3 } });
+    startBacklogs(region, { { "a", all, 1.0 / 3 }, { "b", all, 1.0 / 3 }, { "c", all, 1.0 / 3 } });
     region.run(30min);
     region.resetServed();
     region.run(60s);
@@ -117,16 +117,16 @@
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, 7);
     std::vector<Expected> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
-    setUp(region, expected);
+    startBacklogs(region, expected);
     region.run(30s);
-    region.setCut("x", "y", true);
+    region.setPartitioned("x", "y", true);
     region.run(60min);
     // Each daemon divides its own capacity among the teams that it serves.
     region.resetServed();
     region.run(30s);
     CHECK(region.served("a", "x") / region.served("b", "x") == Approx(1).epsilon(0.05));
 
-    region.setCut("x", "y", false);
+    region.setPartitioned("x", "y", false);
     region.setBacklogged("a", "y", false);
     region.run(10s);
     region.resetServed();
@@ -142,7 +142,7 @@
     region.run(60s);
     // Daemon y becomes unreachable without notice, and the clients of team a use
     // daemon x instead.
-    region.setCut("x", "y", true);
+    region.setPartitioned("x", "y", true);
     region.setBacklogged("a", "y", false);
     region.setBacklogged("a", "x", true);
     region.run(10s);
@@ -155,7 +155,7 @@
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 9);
     std::vector<Expected> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
-    setUp(region, expected);
+    startBacklogs(region, expected);
     region.run(30s);
     region.restart("y");
     CHECK(worstShortfall(region, expected, 30s) < 0.05);
@@ -167,31 +167,31 @@
     RegionalShares shares(policy);
     TimePoint now {};
     LocalService local { 1000, 1000, 2000 };
-    auto tell = [&](std::uint64_t incarnation, std::uint64_t tokens) {
+    auto receive = [&](std::uint64_t incarnation, std::uint64_t tokens) {
         shares.apply({ "peer", incarnation }, { "a", "m", tokens }, now);
     };
     auto remoteRate = [&] {
         RegionalStanding standing = shares.standing("a", local, now);
-        return standing.shared ? local.level * std::exp(-standing.lean) - local.team : 0;
+        return standing.isShared ? local.fairRate * std::exp(-standing.logDeficit) - local.teamRate : 0;
     };
-    tell(2, 1000000);
+    receive(2, 1000000);
     // The first counter only sets the baseline.
     CHECK(remoteRate() == 0);
     now += 10s;
-    tell(2, 1010000);
-    double after = remoteRate();
-    CHECK(after == Approx(1000).epsilon(0.05));
-    tell(2, 1005000);
-    tell(1, 9000000);
-    tell(2, 1010000);
-    CHECK(remoteRate() == Approx(after));
+    receive(2, 1010000);
+    double rateBefore = remoteRate();
+    CHECK(rateBefore == Approx(1000).epsilon(0.05));
+    receive(2, 1005000);
+    receive(1, 9000000);
+    receive(2, 1010000);
+    CHECK(remoteRate() == Approx(rateBefore));
     // A new incarnation counts from zero.
     now += 10s;
-    tell(3, 10000);
+    receive(3, 10000);
     CHECK(remoteRate() == Approx(1000).epsilon(0.05));
     // A total that grew over an hour without reports counts as the mean rate of that hour.
     now += 1h;
-    tell(3, 10000 + 3600 * 1000);
+    receive(3, 10000 + 3600 * 1000);
     CHECK(remoteRate() == Approx(1000).epsilon(0.05));
     // Without reports the rate decays.
     now += 30s;
--- a/unittests/Admission/RetryWindowTest.cpp
+++ b/unittests/Admission/RetryWindowTest.cpp
@@ -9,7 +9,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static int takeAll(RetryWindow& budget, TimePoint now)
+static int makeAllRetries(RetryWindow& budget, TimePoint now)
 {
     int retries = 0;
     while (budget.tryRetry(now))
@@ -26,10 +26,10 @@
         now += 20ms;
         budget.noteRequest(now);
     }
-    int retries = takeAll(budget, now);
+    int retries = makeAllRetries(budget, now);
     CHECK(retries >= 50);
     RetryWindow withoutRequests = budget;
-    CHECK(retries + takeAll(withoutRequests, now + 5s) <= 54);
+    CHECK(retries + makeAllRetries(withoutRequests, now + 5s) <= 54);
     for (int i = 0; i < 500; ++i) {
         now += 20ms;
         budget.noteRequest(now);
@@ -59,7 +59,7 @@
         for (int i = 0; i < entries; ++i) {
             if (random.unit() < requestsPerSecond / 10)
                 budgets[static_cast<std::size_t>(i)].noteRequest(now);
-            retries[static_cast<std::size_t>(i)] += takeAll(budgets[static_cast<std::size_t>(i)], now);
+            retries[static_cast<std::size_t>(i)] += makeAllRetries(budgets[static_cast<std::size_t>(i)], now);
         }
     }
     double earned = 0.2 * requestsPerSecond * entries * 120;
@@ -78,7 +78,7 @@
     while (budget.tryRetry(now, RetryOrder::Further))
         ++further;
     CHECK(further == 5);
-    CHECK(takeAll(budget, now) == 5);
+    CHECK(makeAllRetries(budget, now) == 5);
 }
 
 TEST_CASE("without requests only the slack is available for retries")
@@ -93,7 +93,7 @@
 }
 
 // The load alternates between peaks and low traffic, and every allowed retry is made.
-TEST_CASE("the retries of a window stay within the ratio of the requests of that window, the previous one or the one half a window earlier")
+TEST_CASE("the retries of a window stay within the allowance for the requests of that window, the previous one or the one half a window earlier")
 {
     Random random(11);
     RetryWindow budget;
--- a/unittests/Admission/SlotsTest.cpp
+++ b/unittests/Admission/SlotsTest.cpp
@@ -66,13 +66,13 @@
 struct StaleViews {
     std::vector<EntryDemand> before;
     std::vector<EntryDemand> after;
-    std::map<std::string, TimePoint> seesAfterFrom;
+    std::map<std::string, TimePoint> updatedAt;
     std::map<std::string, SlotCredit> credits;
 
     std::size_t used(std::size_t total, TimePoint now)
     {
         std::size_t sum = 0;
-        for (const auto& [entry, from] : seesAfterFrom)
+        for (const auto& [entry, from] : updatedAt)
             sum += credits[entry].update(creditOf(divideSlots(total, now < from ? before : after), entry), now);
         return sum;
     }
@@ -88,7 +88,7 @@
         for (const char* entry : { "a", "b", "c", "d" }) {
             views.before.push_back({ entry, random.below(40) });
             views.after.push_back({ entry, random.below(40) });
-            views.seesAfterFrom[entry] = start + 10s + std::chrono::milliseconds(random.below(2000));
+            views.updatedAt[entry] = start + 10s + std::chrono::milliseconds(random.below(2000));
         }
         for (Duration at = 0s; at < 20s; at += 100ms)
             REQUIRE(views.used(32, start + at) <= 32);
@@ -103,7 +103,7 @@
     TimePoint start { 1h };
     views.before = { { "a", 40 }, { "b", 40 }, { "dead", 40 } };
     views.after = { { "a", 40 }, { "b", 40 } };
-    views.seesAfterFrom = { { "a", start + 3s }, { "b", start + 4s } };
+    views.updatedAt = { { "a", start + 3s }, { "b", start + 4s } };
     CHECK(views.used(30, start) == 20);
     CHECK(views.used(30, start + 4s) == 20);
     // Requests of the dead entry may still run, so its slots are not given out at once.
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -7,7 +7,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static WaitDemand fresh()
+static WaitDemand firstAttempt()
 {
     WaitDemand demand;
     demand.latencyTarget = 600ms;
@@ -18,27 +18,27 @@
 
 TEST_CASE("the max wait is most of the latency target minus the time to first byte of an idle endpoint")
 {
-    CHECK(longestWait(fresh(), 100ms) > 300ms);
-    CHECK(longestWait(fresh(), 100ms) < 500ms);
-    CHECK(longestWait(fresh(), 400ms) < longestWait(fresh(), 100ms));
+    CHECK(longestWait(firstAttempt(), 100ms) > 300ms);
+    CHECK(longestWait(firstAttempt(), 100ms) < 500ms);
+    CHECK(longestWait(firstAttempt(), 400ms) < longestWait(firstAttempt(), 100ms));
     // Requests may wait for an endpoint that can't meet the target even when idle.
-    CHECK(longestWait(fresh(), 10s) > 50ms);
-    WaitDemand unstated = fresh();
-    unstated.latencyTarget = 0ms;
-    CHECK(longestWait(unstated, 100ms) > 300ms);
+    CHECK(longestWait(firstAttempt(), 10s) > 50ms);
+    WaitDemand withoutTarget = firstAttempt();
+    withoutTarget.latencyTarget = 0ms;
+    CHECK(longestWait(withoutTarget, 100ms) > 300ms);
 }
 
 TEST_CASE("less urgent requests and retries of refused clients have a shorter max wait")
 {
-    WaitDemand lessUrgent = fresh();
+    WaitDemand lessUrgent = firstAttempt();
     lessUrgent.hasMoreUrgent = true;
-    CHECK(longestWait(lessUrgent, 100ms) < longestWait(fresh(), 100ms));
-    WaitDemand returned = fresh();
-    returned.timeLeft = 4s;
-    CHECK(longestWait(returned, 100ms) < longestWait(fresh(), 100ms));
-    WaitDemand forwarded = fresh();
+    CHECK(longestWait(lessUrgent, 100ms) < longestWait(firstAttempt(), 100ms));
+    WaitDemand retried = firstAttempt();
+    retried.timeLeft = 4s;
+    CHECK(longestWait(retried, 100ms) < longestWait(firstAttempt(), 100ms));
+    WaitDemand forwarded = firstAttempt();
     forwarded.timeLeft = 4'850ms;
-    CHECK(longestWait(forwarded, 100ms) == longestWait(fresh(), 100ms));
+    CHECK(longestWait(forwarded, 100ms) == longestWait(firstAttempt(), 100ms));
 }
 
 TEST_CASE("retry-after times are spread one after the other and stay within the clients' max wait")
@@ -63,9 +63,9 @@
 namespace {
 
 /// Numbers of requests by outcome in a simulated overload.
-struct Served {
+struct OverloadResult {
     int inTime { 0 };
-    int afterReturn { 0 };
+    int servedOnRetry { 0 };
     int refusedTwice { 0 };
     int late { 0 };
 };
@@ -75,48 +75,48 @@
 /// Simulates ten seconds of load on one endpoint that takes 10 ms per request. During
 /// the first \p overload the load is twice the capacity. Each refused client retries
 /// once.
-static Served play(Duration overload, bool isLimited)
+static OverloadResult simulateOverload(Duration overload, bool isLimited)
 {
-    struct Return {
+    struct Retry {
         TimePoint at;
-        TimePoint began;
+        TimePoint firstAttemptAt;
     };
-    Served served;
+    OverloadResult result;
     Random random(5);
     ReturnSchedule schedule;
-    std::deque<Return> returns;
+    std::deque<Retry> retries;
     TimePoint start { 100s };
     TimePoint busyUntil = start;
-    auto arrive = [&](TimePoint now, TimePoint began) {
-        WaitDemand demand = fresh();
-        demand.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(5s - (now - began));
+    auto arrive = [&](TimePoint now, TimePoint firstAttemptAt) {
+        WaitDemand demand = firstAttempt();
+        demand.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(5s - (now - firstAttemptAt));
         Duration wait = std::max<Duration>(busyUntil - now, 0ms);
-        bool isReturn = now != began;
+        bool isRetry = now != firstAttemptAt;
         if (isLimited && wait > longestWait(demand, 100ms)) {
-            if (isReturn)
-                ++served.refusedTwice;
+            if (isRetry)
+                ++result.refusedTwice;
             else
-                returns.push_back({ now + schedule.book(10ms, demand.timeLeft / 3, now, random), now });
+                retries.push_back({ now + schedule.book(10ms, demand.timeLeft / 3, now, random), now });
             return;
         }
         busyUntil = std::max(busyUntil, now) + 10ms;
-        bool isLate = now + wait + 100ms - began > 600ms;
-        served.inTime += !isLate;
-        served.late += isLate && !isReturn;
-        served.afterReturn += isLate && isReturn;
+        bool missesTarget = now + wait + 100ms - firstAttemptAt > 600ms;
+        result.inTime += !missesTarget;
+        result.late += missesTarget && !isRetry;
+        result.servedOnRetry += missesTarget && isRetry;
     };
     for (TimePoint now = start; now < start + 10s; now += 1ms) {
-        std::sort(returns.begin(), returns.end(), [](const Return& first, const Return& second) { return first.at < second.at; });
-        while (!returns.empty() && returns.front().at <= now) {
-            TimePoint began = returns.front().began;
-            returns.pop_front();
-            arrive(now, began);
+        std::sort(retries.begin(), retries.end(), [](const Retry& first, const Retry& second) { return first.at < second.at; });
+        while (!retries.empty() && retries.front().at <= now) {
+            TimePoint firstAttemptAt = retries.front().firstAttemptAt;
+            retries.pop_front();
+            arrive(now, firstAttemptAt);
         }
         double perMillisecond = now < start + overload ? 0.2 : 0.05;
         if (random.unit() < perMillisecond)
             arrive(now, now);
     }
-    return served;
+    return result;
 }
 
 // The strongest bursts bring twice the capacity to a region for some seconds. A client
@@ -124,25 +124,25 @@
 // refused in the last 1.7 s of a burst can be served.
 TEST_CASE("in a burst of twice the capacity, accepted first attempts meet the latency target")
 {
-    Served served = play(3s, true);
-    Served unlimited = play(3s, false);
-    CHECK(served.late == 0);
+    OverloadResult result = simulateOverload(3s, true);
+    OverloadResult unlimited = simulateOverload(3s, false);
+    CHECK(result.late == 0);
     CHECK(unlimited.late > 300);
-    CHECK(served.inTime > unlimited.inTime + 200);
+    CHECK(result.inTime > unlimited.inTime + 200);
 }
 
 TEST_CASE("most clients that are refused in a short burst are served when they retry")
 {
-    Served served = play(1'200ms, true);
-    CAPTURE(served.inTime, served.afterReturn, served.refusedTwice);
-    CHECK(served.late == 0);
-    CHECK(served.afterReturn > 2 * served.refusedTwice);
+    OverloadResult result = simulateOverload(1'200ms, true);
+    CAPTURE(result.inTime, result.servedOnRetry, result.refusedTwice);
+    CHECK(result.late == 0);
+    CHECK(result.servedOnRetry > 2 * result.refusedTwice);
 }
 
 TEST_CASE("in a long overload, retries don't displace requests that can still meet the latency target")
 {
-    Served served = play(9s, true);
+    OverloadResult result = simulateOverload(9s, true);
     // The endpoint can serve a hundred requests per second.
-    CHECK(served.inTime > 650);
-    CHECK(served.late == 0);
+    CHECK(result.inTime > 650);
+    CHECK(result.late == 0);
 }
