--- a/lib/Admission/DrainRate.cpp
+++ b/lib/Admission/DrainRate.cpp
@@ -6,12 +6,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Busy seconds that the rate looks back over.
-static constexpr double smoothing = 5;
-/// Work that starts sooner than this after the queue was empty did not wait.
-static constexpr Duration leastWait = std::chrono::milliseconds(1);
-/// Busy seconds before a rate is told: a prediction from less would refuse on a guess.
-static constexpr double leastBusy = 1;
+/// Time constant of the smoothing, in busy seconds.
+static constexpr double smoothingSeconds = 5;
+/// Work that starts sooner than this after the queue became non-empty did not wait.
+static constexpr Duration minWait = std::chrono::milliseconds(1);
+/// Busy seconds needed before a rate is returned: a prediction from fewer is too
+/// uncertain to refuse requests on.
+static constexpr double minBusySeconds = 1;
 
 void DrainRate::setBusy(bool busy, TimePoint now)
 {
@@ -25,9 +26,9 @@
 
 void DrainRate::add(double tokens, TimePoint now)
 {
-    // Counted, it would add tokens and no time, and the rate would grow with
-    // every request that finds a free slot.
-    if (!m_busy || now - m_busySince < leastWait)
+    // Counting work that did not wait would add tokens without busy time, and every
+    // request that finds a free slot would raise the rate.
+    if (!m_busy || now - m_busySince < minWait)
         return;
     advance(now);
     m_tokens += tokens;
@@ -37,7 +38,7 @@
 {
     DrainRate current = *this;
     current.advance(now);
-    if (current.m_busySeconds < leastBusy)
+    if (current.m_busySeconds < minBusySeconds)
         return std::nullopt;
     return current.m_tokens / current.m_busySeconds;
 }
@@ -48,9 +49,9 @@
         return;
     if (m_busy) {
         double span = Seconds(now - m_at).count();
-        double kept = std::exp(-span / smoothing);
-        m_tokens *= kept;
-        m_busySeconds = m_busySeconds * kept + smoothing * (1 - kept);
+        double decay = std::exp(-span / smoothingSeconds);
+        m_tokens *= decay;
+        m_busySeconds = m_busySeconds * decay + smoothingSeconds * (1 - decay);
     }
     m_at = now;
 }
--- a/unittests/Admission/RegionFake.h
+++ b/unittests/Admission/RegionFake.h
@@ -11,25 +11,25 @@
 
 namespace catkinwing {
 
-/// A daemon of the fake region: slots that each serve tokens at a fixed rate.
+/// Daemon of the fake region, whose slots each serve tokens at a fixed rate.
 struct DaemonSpec {
     std::string name;
     std::size_t slots { 8 };
     double tokensPerSecond { 8000 };
 };
 
-/// Daemons with a fair queue each, that exchange served counters in heartbeats
-/// with a delay. Serves requests of one pool on a manual clock.
+/// Region of daemons that each have a fair queue and exchange served counters in
+/// delayed heartbeats. Serves requests of one pool on a manual clock.
 class RegionFake {
 public:
     RegionFake(std::vector<DaemonSpec> daemons, const std::vector<TeamPolicy>& teams, std::uint64_t seed);
 
-    /// Keeps a backlog of \p team at \p daemon from now on, or stops to.
+    /// Starts or stops keeping a backlog of \p team at \p daemon.
     void setBacklogged(const std::string& team, const std::string& daemon, bool backlogged);
     /// Sets the mean cost of a team's requests in tokens.
     void setMeanCost(const std::string& team, double tokens) { m_meanCost[team] = tokens; }
-    /// Cuts or heals the heartbeats between two daemons.
-    void setCut(const std::string& a, const std::string& b, bool cut);
+    /// Blocks or restores the heartbeats between two daemons.
+    void setPartitioned(const std::string& a, const std::string& b, bool partitioned);
     /// Restarts a daemon with an empty queue and a new incarnation.
     void restart(const std::string& daemon);
     void run(Duration span);
@@ -53,17 +53,17 @@
         std::map<std::string, double> served;
     };
 
-    void fill(Daemon& daemon);
+    void fillBacklog(Daemon& daemon);
     void startWork(Daemon& daemon);
-    void beat(const std::string& name);
-    void scheduleBeat(const std::string& name);
+    void sendHeartbeats(const std::string& name);
+    void scheduleHeartbeats(const std::string& name);
 
     ManualScheduler m_scheduler;
     Random m_random;
     std::vector<TeamPolicy> m_teams;
     std::map<std::string, double> m_meanCost;
     std::map<std::string, Daemon> m_daemons;
-    std::set<std::set<std::string>> m_cuts;
+    std::set<std::set<std::string>> m_partitions;
     RequestId m_lastId { 0 };
 };
 
--- a/unittests/Admission/RetryWindowTest.cpp
+++ b/unittests/Admission/RetryWindowTest.cpp
@@ -9,7 +9,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static int takeAll(RetryWindow& budget, TimePoint now)
+static int makeAllRetries(RetryWindow& budget, TimePoint now)
 {
     int retries = 0;
     while (budget.tryRetry(now))
@@ -17,7 +17,7 @@
     return retries;
 }
 
-TEST_CASE("after a crash half of what the requests before it have earned may be retried at once, and the rest as requests come")
+TEST_CASE("half of the retries earned in the last window are available at once, and the rest as requests arrive")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 4, 10s });
@@ -26,10 +26,10 @@
         now += 20ms;
         budget.noteRequest(now);
     }
-    int retries = takeAll(budget, now);
+    int retries = makeAllRetries(budget, now);
     CHECK(retries >= 50);
     RetryWindow withoutRequests = budget;
-    CHECK(retries + takeAll(withoutRequests, now + 5s) <= 54);
+    CHECK(retries + makeAllRetries(withoutRequests, now + 5s) <= 54);
     for (int i = 0; i < 500; ++i) {
         now += 20ms;
         budget.noteRequest(now);
@@ -40,8 +40,9 @@
     CHECK(budget.hasRetry(now + 11s));
 }
 
-// Guards against entries that are too small a part of all to ever send again.
-TEST_CASE("entries with few requests have their retries, and all of them no more than they earn together")
+// Guards against entries with so small a share of the requests that they never get a
+// retry.
+TEST_CASE("each entry with few requests gets a retry, and all entries together stay within the ratio")
 {
     constexpr int entries = 295;
     constexpr double requestsPerSecond = 2;
@@ -58,7 +59,7 @@
         for (int i = 0; i < entries; ++i) {
             if (random.unit() < requestsPerSecond / 10)
                 budgets[static_cast<std::size_t>(i)].noteRequest(now);
-            retries[static_cast<std::size_t>(i)] += takeAll(budgets[static_cast<std::size_t>(i)], now);
+            retries[static_cast<std::size_t>(i)] += makeAllRetries(budgets[static_cast<std::size_t>(i)], now);
         }
     }
     double earned = 0.2 * requestsPerSecond * entries * 120;
@@ -68,7 +69,7 @@
     CHECK(*std::min_element(retries.begin(), retries.end()) > 0);
 }
 
-TEST_CASE("a request is sent a third time only while half of the budget is left")
+TEST_CASE("a further retry of a request is allowed only while half of the budget is left")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 10, 10s });
@@ -77,10 +78,10 @@
     while (budget.tryRetry(now, RetryOrder::Further))
         ++further;
     CHECK(further == 5);
-    CHECK(takeAll(budget, now) == 5);
+    CHECK(makeAllRetries(budget, now) == 5);
 }
 
-TEST_CASE("without requests only the slack may be retried")
+TEST_CASE("without requests only the slack is available for retries")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 2, 10s });
@@ -91,8 +92,8 @@
     CHECK_FALSE(budget.tryRetry(now + 9s));
 }
 
-// Load that rises and falls, and every retry that is allowed.
-TEST_CASE("no window holds more retries than its requests, those of the window before, or of the span half a window before, allow")
+// The load alternates between peaks and low traffic, and every allowed retry is made.
+TEST_CASE("the retries of a window stay within the allowance for the requests of that window, the previous one or the one half a window earlier")
 {
     Random random(11);
     RetryWindow budget;
