--- a/include/catkinwing/Membership/Membership.h
+++ b/include/catkinwing/Membership/Membership.h
@@ -9,26 +9,29 @@
 
 namespace catkinwing {
 
-/// What a membership reports; each may be left empty.
+/// Callbacks of a Membership; each may be left empty.
 struct MembershipEvents {
-    /// The process was frozen for about \p span. All views are dropped already;
-    /// drop leases before returning. Nothing else is handled before.
+    /// The process was paused for about \p span. The Membership has already
+    /// discarded its views and handles nothing else before this callback returns;
+    /// the callback must drop the leases.
     std::function<void(Duration span)> onFrozen;
-    /// The view changed in a way that steering or forwarding may depend on.
+    /// The view changed in a way that routing or forwarding may depend on.
     std::function<void()> onViewChanged;
-    /// A member of the zone changed its state; for logs.
+    /// The state of a member of the zone changed; meant for logs.
     std::function<void(const EntryRef&, MemberState)> onMemberState;
-    /// A peer has another configuration in force; pull from it or push to it.
+    /// A peer has a different configuration in force; the callback may pull from the
+    /// peer or push to it.
     std::function<void(const ConfigPeer&)> onConfigDiffers;
-    /// A peer says that an endpoint is leaving; reported once for each run.
+    /// A peer announced that an endpoint is leaving; reported once for each run of
+    /// the endpoint.
     std::function<void(const EndpointLeaving&)> onEndpointLeaving;
-    /// Another entry or zone served tokens.
+    /// Another entry or zone reported newly served tokens.
     std::function<void(const ServedElsewhere&)> onServedElsewhere;
-    /// A later run of the own name is live: this process must stop serving.
+    /// A later run with this entry's name is live; this process must stop serving.
     std::function<void()> onSuperseded;
 };
 
-/// Where to look for entries.
+/// An address at which an entry may run.
 struct Candidate {
     SocketAddress peerAddress;
     /// Availability zone and region if known, else empty.
@@ -39,8 +42,8 @@
 /// Returns the incarnation of a process that starts now.
 Incarnation makeIncarnation(const Clock& clock, Random& random);
 
-/// Keeps track of the other entries: members of the own availability zone by
-/// heartbeats, other zones by relayed digests.
+/// Tracks the other entries: the members of this entry's availability zone by
+/// heartbeats, the other zones by digests that relays exchange.
 class Membership {
 public:
     /// \p scheduler and \p transport must outlive this. The zone, the region, the
@@ -50,29 +53,32 @@
     Membership(const Membership&) = delete;
     Membership& operator=(const Membership&) = delete;
 
-    /// Starts the exchange.
+    /// Starts the exchanges with members and zones.
     void start();
-    /// Adds addresses to be tried, such as seeds or the directory's list. Known
-    /// ones are skipped; each is forgotten after MembershipOptions::forgetAfter,
-    /// unless it is learnt again.
+    /// Adds addresses to probe, such as seeds or the directory's list. Addresses of
+    /// members in use are skipped. An address is removed after
+    /// MembershipOptions::forgetAfter unless it is added again.
     void learn(const std::vector<Candidate>& candidates);
-    /// Replaces what is told to the others.
+    /// Replaces the state that is sent to the other entries.
     void setLocalState(LocalState state);
-    /// Announces at once that this entry drains.
+    /// Marks this entry as draining and announces it immediately.
     void startDraining();
-    /// Announces at once that this entry exits; nothing is sent after.
+    /// Announces immediately that this entry exits; nothing is sent afterwards.
     void announceGone();
-    /// Announces at once that an endpoint is leaving.
+    /// Announces immediately that an endpoint is leaving.
     void reportLeaving(const EndpointLeaving& endpoint);
-    /// Handles a message; none if it is not for the membership.
+    /// Handles a message and returns the reply, or none if the message type is not
+    /// one of the membership protocol.
     std::optional<PeerReply> handle(const PeerMessage& message);
 
-    /// Reports a freeze if the process was frozen. Called by all else here; call it
-    /// as well before acting on a lease.
+    /// Detects and reports a pause of the process. The timer, the message handlers
+    /// and view() call it; callers must also call it before acting on a lease.
     void checkFrozen();
-    /// Returns the current view; it stays valid until the next call.
+    /// Returns the current view. The reference stays valid, but the next call may
+    /// change the view.
     const MembershipView& view();
-    /// Returns this entry, whose incarnation may have been raised once at start.
+    /// Returns the identity of this entry. Its incarnation is raised if a peer knows a
+    /// higher one of a dead earlier run.
     const EntryIdentity& self() const;
     const MembershipCounters& counters() const;
 
--- a/include/catkinwing/Membership/MembershipView.h
+++ b/include/catkinwing/Membership/MembershipView.h
@@ -5,34 +5,35 @@
 
 namespace catkinwing {
 
-/// How much an entry believes in another.
+/// State of a member as the failure detector sees it.
 enum class MemberState {
     Live,
-    /// Nothing heard for a while; it gets no new work, but is not given up.
+    /// No message was received recently; the member gets no new work.
     Suspect,
-    /// Given up; it is tried from time to time.
+    /// The member is considered dead and only probed at intervals.
     Dead,
 };
 
-/// Another entry of the own availability zone.
+/// Another entry of this entry's availability zone.
 struct MemberView {
     EntryIdentity identity;
     MemberState state { MemberState::Dead };
     bool draining { false };
-    /// False if the member's messages show that it doesn't hear this entry.
+    /// False if the member has not acknowledged this entry's messages recently, or if
+    /// the latest exchanges with the member failed.
     bool hearsUs { false };
-    /// Time of its latest message.
+    /// Time at which the member's latest message was received.
     TimePoint heardAt {};
-    /// Freezes that it reported in this run.
+    /// Number of process pauses that the member reported in this run.
     std::uint32_t freezes { 0 };
-    /// Configuration that it has in force.
+    /// Digest of the configuration that the member has in force.
     std::uint64_t configDigest { 0 };
-    /// Its demand by endpoint group.
+    /// Demand of the member by endpoint group.
     std::vector<GroupDemand> demand;
-    /// Its requests in flight by endpoint, in the order of the names.
+    /// Requests of the member in flight by endpoint, sorted by name.
     std::vector<EndpointLoad> load;
 
-    /// Returns whether new work may be steered or forwarded to it.
+    /// Returns whether new work may be routed or forwarded to the member.
     bool isUsable() const { return state == MemberState::Live && hearsUs && !draining; }
 };
 
@@ -40,33 +41,34 @@
 struct ZoneView {
     std::string zone;
     std::string region;
-    /// True if a recent digest is here.
+    /// True if a recent digest of the zone is present.
     bool isReachable { false };
-    /// Time at which the digest in hand was made, on the own clock; wrong by the
-    /// time it spent on the network.
+    /// Time at which the latest digest was created, by this entry's clock. The time
+    /// that the digest spent on the network is not accounted for.
     TimePoint madeAt {};
     std::vector<ZoneEntry> entries;
     std::vector<ModelRoom> models;
-    /// Configuration in force there; zero unless this entry is the relay.
+    /// Digest of the configuration in force in the zone; zero if the digest came
+    /// through another member.
     std::uint64_t configDigest { 0 };
-    /// The members of the own zone, this entry perhaps among them, that exchange
-    /// digests with the zone: the first does, the second steps in.
+    /// Names of the entries of this zone, possibly including this entry, that exchange
+    /// digests with the other zone: the first is active, the second is the standby.
     std::vector<std::string> relays;
 };
 
-/// All that an entry knows of the others.
+/// State of the other entries and zones as known to this entry.
 struct MembershipView {
-    /// Members of the own zone, this entry left out, in the order of the names.
+    /// Members of this entry's zone without the entry itself, sorted by name.
     std::vector<MemberView> members;
-    /// Other zones in the order of the names.
+    /// Other zones, sorted by name.
     std::vector<ZoneView> zones;
-    /// Endpoints that are leaving, by run.
+    /// Runs of endpoints that are leaving.
     std::vector<EndpointLeaving> leaving;
     /// True while this entry drains.
     bool draining { false };
 };
 
-/// What the Gateway knows of its own entry and zone, to be told to others.
+/// State of this entry and its zone that the Gateway supplies for the other entries.
 struct LocalState {
     std::uint64_t configDigest { 0 };
     /// Demand of this entry.
@@ -75,20 +77,20 @@
     std::vector<EndpointLoad> load;
     /// Tokens that this entry served since its start, by team.
     std::vector<TeamTokens> served;
-    /// Room of the whole zone by model, as this entry sees it.
+    /// Free capacity of the whole zone by model, as this entry sees it.
     std::vector<ModelRoom> models;
 };
 
-/// Tokens that another entry or zone was seen to have served.
+/// Newly served tokens that another entry or zone reported.
 struct ServedElsewhere {
     std::string zone;
     std::string region;
     std::string team;
-    /// Tokens since the last report from the same source.
+    /// Tokens served since the previous report of the same source.
     std::uint64_t tokens { 0 };
 };
 
-/// Where to fetch configuration that differs from the own.
+/// A peer whose configuration differs from this entry's.
 struct ConfigPeer {
     std::string zone;
     std::string name;
@@ -96,7 +98,7 @@
     std::uint64_t configDigest { 0 };
 };
 
-/// Counts of what a membership did.
+/// Event counters of a Membership.
 struct MembershipCounters {
     std::uint64_t heartbeatsSent { 0 };
     std::uint64_t heartbeatsReceived { 0 };
--- a/lib/Membership/Announcements.cpp
+++ b/lib/Membership/Announcements.cpp
@@ -69,7 +69,8 @@
         batch.emplace_back(EntryLeaving { m_self.ref, false });
     if (batch.empty())
         return;
-    // Sent again before the answer is given up: it has to arrive within 2 s.
+    // The announcement is retried before the exchange times out, because it must
+    // reach the member within 2 s.
     member.nextAnnounce = now() + m_options.retryInterval;
     EntryRef ref = member.identity.ref;
     std::size_t expected = batch.size();
@@ -121,7 +122,8 @@
     member->wasUsable = false;
     if (leaving.isGone) {
         setState(*member, MemberState::Dead);
-        // What is still under way from it is no sign of life.
+        // Messages of the exited run that are still in transit must not mark the
+        // member live again.
         member->heardSequence = UINT64_MAX;
     }
     return Acknowledgement {};
--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -4,10 +4,10 @@
 
 namespace catkinwing {
 
-// Digest intervals without a digest after which the second relay steps in.
+// Digest intervals without a digest after which the standby relay starts exchanging.
 static constexpr int standbyIntervals = 2;
-// Teams in a digest that is passed on; a member that joins gets no more of those
-// that changed before.
+// Maximum number of teams in a digest that is forwarded to a member. A member that
+// joins gets at most this many of the totals that changed earlier.
 static constexpr std::size_t maxRelayedTeams = 16;
 
 std::vector<ZoneEntry> Membership::Impl::ownEntries() const
@@ -70,8 +70,8 @@
 {
     std::uint32_t roster = rosterDigestOf(ownEntries());
     for (auto& [name, zone] : m_zones.all()) {
-        // Changed entries are told sooner than at the usual pace, by a relay
-        // that has just become one as well.
+        // A change of this zone's entries brings the next exchange forward. This
+        // also holds for an entry that has just become the relay.
         if (zone.digest && zone.toldRoster != roster)
             zone.nextExchange = std::min(zone.nextExchange, std::max(zone.lastExchange, zone.madeAt) + m_options.digestRetryInterval);
         if (isDue(name, zone))
@@ -99,7 +99,8 @@
     if (!digest || digest->zone != name) {
         ++m_counters.sendFailures;
         ++zone->failures;
-        // The answer may be lost alone, so all has to be told again.
+        // The other zone may have received the digest although the reply was lost or
+        // invalid. Its state is unknown, so the next digest contains everything.
         zone->theirRoster = 0;
         zone->toldServed.clear();
         zone->nextExchange = now() + jittered(std::min(expected, m_options.digestRetryInterval));
@@ -109,8 +110,8 @@
     receiveDirect(*digest);
 }
 
-// Totals that are on their way count as told: should they be lost, the exchange
-// fails, and all are told again.
+// Adds the changed totals and records them as sent before they are acknowledged. If
+// the digest is lost, the exchange fails and all totals are sent again.
 static void tellServed(const std::vector<NamedCount>& totals, CountTable& told, std::size_t limit, ZoneDigest& digest)
 {
     TopChanges changes = topChanges(totals, told, limit);
@@ -146,7 +147,7 @@
     if (zone.theirRoster != digest.rosterDigest)
         digest.entries = std::move(entries);
     digest.models = m_models;
-    // Shares are kept by region, so other regions need no totals.
+    // Team shares are computed per region, so other regions need no totals.
     if (zone.region == m_self.region)
         tellServed(sumOf(m_served, m_servedByMembers), zone.toldServed, m_options.teamsPerDigest, digest);
     digest.configDigest = m_configDigest;
@@ -164,7 +165,8 @@
 ZoneDigest Membership::Impl::relayed(const Zone& zone, std::uint64_t knownVersion) const
 {
     ZoneDigest digest = *zone.digest;
-    // A digest that was replaced before it was passed on may have told more teams.
+    // A digest that was replaced before it was forwarded may have contained other
+    // teams, so the totals are taken from all digests since knownVersion.
     digest.served.clear();
     for (const auto& [team, total] : zone.totals) {
         if (total.version <= knownVersion)
@@ -188,12 +190,12 @@
 PeerReply Membership::Impl::answer(const ZoneDigest& digest)
 {
     if (!isActive() || hasJustWoken())
-        return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take digests now", std::nullopt };
+        return PeerError { PeerErrorCode::Unavailable, "entry is not accepting zone digests: not active or just resumed from a pause", std::nullopt };
     if (digest.region.empty())
-        return PeerError { PeerErrorCode::Malformed, "the digest names no region", std::nullopt };
+        return PeerError { PeerErrorCode::Malformed, "zone digest has no region", std::nullopt };
     Zone* zone = m_zones.findOrAdd(digest.zone, digest.region, now());
     if (!zone)
-        return PeerError { PeerErrorCode::Unavailable, "the digest is of this zone", std::nullopt };
+        return PeerError { PeerErrorCode::Unavailable, "zone digest comes from the receiver's own zone", std::nullopt };
     receiveDirect(digest);
     return digestFor(*zone);
 }
@@ -222,8 +224,9 @@
         return madeAt > zone.madeAt;
     if (digest.sequence > zone.digest->sequence)
         return true;
-    // The relay started again, and its sequences with it. Ages alone don't tell,
-    // since they leave out the time on the network.
+    // A restarted relay starts its sequence numbers again, so a digest that is newer
+    // by a margin is accepted. Ages alone don't decide, since they don't include the
+    // time on the network.
     return madeAt > zone.madeAt + m_options.digestRetryInterval;
 }
 
@@ -232,7 +235,7 @@
     TimePoint madeAt = now() - digest.age;
     if (isNewer(zone, digest, madeAt))
         replaceDigest(zone, digest, madeAt, isDirect);
-    // Entries may follow later than the digest that they belong to.
+    // Entries may arrive later than the digest to which they belong.
     bool isCurrent = zone.digest && zone.digest->rosterDigest == digest.rosterDigest && zone.rosterDigest != digest.rosterDigest;
     if (!isCurrent || !digest.entries || rosterDigestOf(*digest.entries) != digest.rosterDigest)
         return;
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -3,10 +3,10 @@
 
 namespace catkinwing {
 
-// Leaving endpoints in one heartbeat; more wait for the next.
+// Maximum number of leaving endpoints in one heartbeat; further ones wait for the next.
 static constexpr std::size_t leavingPerHeartbeat = 16;
-// The side that doesn't begin exchanges waits 4/3 of the interval: longer than the
-// other's longest pause and a look.
+// The side that doesn't normally start exchanges waits 4/3 of the interval, which is
+// longer than the other side's maximum delay plus one timer tick.
 static constexpr int backupNumerator = 4;
 static constexpr int backupDenominator = 3;
 
@@ -38,7 +38,7 @@
             markChanged();
             continue;
         }
-        // Only a message makes a member better than it is.
+        // Only a received message improves a member's state.
         MemberState state = judgeSilence(m_options, now() - member.heardAt, exchange);
         if (state > member.state)
             setState(member, state);
@@ -60,8 +60,8 @@
     }
 }
 
-// One exchange serves both sides, so one of them begins it; the other waits a
-// little longer and begins only if nothing came.
+// One exchange serves both sides, so the side with the lower name starts it. The
+// other side waits longer and starts an exchange only if no heartbeat arrived.
 Duration Membership::Impl::pauseBefore(const Member& member)
 {
     Duration pause = jittered(interval());
@@ -85,7 +85,7 @@
         return;
     }
     receiveReply(replies->front());
-    // Another run may have answered at the address, or a refusal have come.
+    // The reply may come from another run at this address, or may be an error.
     member = m_members.find(ref);
     const auto* heartbeat = std::get_if<Heartbeat>(&replies->front());
     if (!member || !heartbeat || heartbeat->sender.ref != ref) {
@@ -155,8 +155,9 @@
         return;
     if (error.code == PeerErrorCode::LowIncarnation)
         raiseIncarnation(*error.known);
-    // A run that was never taken in waits instead: the later one may be a run of
-    // before whose death isn't noticed yet.
+    // A run that no member has accepted yet keeps trying instead, because the run
+    // with the higher incarnation may be an earlier one whose death is not detected
+    // yet.
     if (error.code == PeerErrorCode::OldIncarnation && m_isAccepted)
         supersede();
 }
@@ -223,7 +224,8 @@
         bool isRosterKnown = member.channel.rosterDigest(name) == zone.rosterDigest;
         bool hasRosterRoom = content.rosters.size() < m_options.rostersPerHeartbeat;
         bool tellsRoster = !isRosterKnown && hasRosterRoom;
-        // Without its entries a new zone is of no use, so it waits for room.
+        // A new zone is unusable without its entries, so its digest waits until a
+        // heartbeat can include them.
         if (isRosterKnown ? isVersionKnown : !hasRosterRoom)
             continue;
         ZoneDigest digest = relayed(zone, member.channel.digestVersion(name));
--- a/lib/Membership/HeartbeatReception.cpp
+++ b/lib/Membership/HeartbeatReception.cpp
@@ -4,17 +4,18 @@
 
 PeerReply Membership::Impl::answer(const Heartbeat& heartbeat)
 {
-    // What waited in a socket through a freeze says nothing of now.
+    // Messages that were queued in a socket during a pause are out of date.
     if (!isActive() || hasJustWoken())
-        return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take heartbeats now", std::nullopt };
+        return PeerError { PeerErrorCode::Unavailable, "entry is not accepting heartbeats: not active or just resumed from a pause", std::nullopt };
     Reception reception = receive(heartbeat);
     if (reception.refusal)
         return *reception.refusal;
     if (!reception.member)
         return introduction();
     Member& member = *reception.member;
-    // A sender that doesn't hear this entry, or that it couldn't reach when it last
-    // tried, is not one that was exchanged with: only an own exchange shows the way.
+    // If the sender doesn't receive this entry's messages, or if this entry's latest
+    // exchange with the sender failed, the next exchange is not postponed: only an
+    // exchange that this entry starts tests the path to the sender.
     if (member.failures == 0 && member.hearsUs(m_options, now(), interval()))
         member.nextExchange = now() + pauseBefore(member);
     return heartbeatFor(member);
@@ -29,9 +30,9 @@
         return {};
     }
     if (theirs < ours)
-        return { nullptr, PeerError { PeerErrorCode::OldIncarnation, "a later run of this name is alive", ours } };
+        return { nullptr, PeerError { PeerErrorCode::OldIncarnation, "a later run of the entry is live", ours } };
     supersede();
-    return { nullptr, PeerError { PeerErrorCode::Unavailable, "the entry is superseded", std::nullopt } };
+    return { nullptr, PeerError { PeerErrorCode::Unavailable, "entry was superseded by a later run", std::nullopt } };
 }
 
 Membership::Impl::Reception Membership::Impl::receive(const Heartbeat& heartbeat)
@@ -45,11 +46,11 @@
         ++m_counters.oldIncarnationsRefused;
         bool isAlive = member->state != MemberState::Dead;
         PeerErrorCode code = isAlive ? PeerErrorCode::OldIncarnation : PeerErrorCode::LowIncarnation;
-        return { nullptr, PeerError { code, "a later run of this name is known", member->identity.ref.incarnation } };
+        return { nullptr, PeerError { code, "a later run of the entry is known", member->identity.ref.incarnation } };
     }
     bool isKnownRun = member && member->identity.ref == sender.ref;
     if (sender.zone.empty() && !isKnownRun)
-        return { nullptr, PeerError { PeerErrorCode::UnknownRun, "the run is not known here", std::nullopt } };
+        return { nullptr, PeerError { PeerErrorCode::UnknownRun, "run of the entry is unknown to the receiver", std::nullopt } };
     if (!sender.zone.empty() && sender.zone != m_self.zone) {
         noteContact(sender.zone, sender.region, sender.peerAddress);
         return {};
@@ -67,7 +68,8 @@
     member = Member();
     member.identity = identity;
     member.heardAt = now();
-    // Its first exchange is due at once: only then is it known that it hears us.
+    // The first exchange is due immediately, since only its result shows whether the
+    // member receives this entry's messages.
     member.nextExchange = now();
     member.owesLeaving = m_isDraining;
     m_candidates.erase(identity.peerAddress);
@@ -101,7 +103,7 @@
         member.hearsUsAt = acknowledgedAt;
     std::uint32_t freezes = heartbeat.freeze ? heartbeat.freeze->count : 0;
     if (freezes != member.freezes) {
-        // It dropped all that it was told.
+        // The member was paused and discarded all state that it had received.
         member.freezes = freezes;
         member.channel.reset();
         member.load.clear();
--- a/lib/Membership/Membership.cpp
+++ b/lib/Membership/Membership.cpp
@@ -5,10 +5,11 @@
 
 namespace catkinwing {
 
-// Sequences start at a random number of this many bits, which stays short on the
-// wire.
+// Sequence numbers start at a random value below this bound, so that they have a
+// short encoding.
 static constexpr std::uint64_t firstSequenceBound = 1U << 20;
-// Exchanges are spread by this part of their interval, so that they don't meet.
+// Fraction of the interval by which exchanges are spread, so that they don't
+// coincide.
 static constexpr double jitterPart = 0.1;
 
 Incarnation makeIncarnation(const Clock& clock, Random& random)
@@ -29,7 +30,7 @@
     , m_zones(m_self.zone)
     , m_alive(std::make_shared<bool>(true))
 {
-    assert(!m_self.ref.name.empty() && !m_self.zone.empty() && "an entry has a name and a zone");
+    assert(!m_self.ref.name.empty() && !m_self.zone.empty() && "identity of the entry lacks a name or a zone");
 }
 
 void Membership::Impl::start()
@@ -84,8 +85,8 @@
     reportChange();
 }
 
-// Nothing that was believed before the freeze is relied on: members have to answer
-// a new message before they are used.
+// Discards all state from before the pause: members must reply to a new message
+// before they are used again.
 void Membership::Impl::dropViews()
 {
     ++m_epoch;
@@ -119,7 +120,8 @@
         m_events.onSuperseded();
 }
 
-// The clock of an earlier run of this name was ahead of this one's.
+// Raises the incarnation above that of an earlier run of this entry, whose clock was
+// ahead of this run's clock.
 void Membership::Impl::raiseIncarnation(const Incarnation& known)
 {
     if (!(m_self.ref.incarnation < known))
@@ -180,7 +182,8 @@
     Zone* known = m_zones.findOrAdd(zone, region, now());
     if (!known)
         return;
-    // The members of the own zone find each other first and share the zones out.
+    // The delay lets the members of this zone find each other first, so that they
+    // agree on the relays.
     if (isNew)
         known->nextExchange = now() + m_options.heartbeatInterval + jittered(m_options.heartbeatInterval) * 2;
     if (known->region.empty())
--- a/lib/Membership/MembershipImpl.h
+++ b/lib/Membership/MembershipImpl.h
@@ -7,10 +7,10 @@
 
 namespace catkinwing {
 
-/// The state of a membership. Its functions are spread over the sources by job:
-/// Membership.cpp (life, freezes, candidates), HeartbeatExchange.cpp (what is sent
-/// to members), HeartbeatReception.cpp (what comes from them), DigestExchange.cpp (zones), Announcements.cpp (drain and leaving endpoints) and
-/// ViewBuilder.cpp.
+/// Implementation of Membership. The sources are divided by function: Membership.cpp
+/// (life cycle, pauses, candidate addresses), HeartbeatExchange.cpp (heartbeats sent to
+/// members), HeartbeatReception.cpp (heartbeats received), DigestExchange.cpp (other
+/// zones), Announcements.cpp (drain and leaving endpoints), ViewBuilder.cpp (the view).
 class Membership::Impl {
 public:
     Impl(EntryIdentity self, MembershipOptions options, Scheduler& scheduler, PeerTransport& transport, Random random, MembershipEvents events);
@@ -41,11 +41,12 @@
     };
     struct LeavingState {
         TimePoint since {};
-        /// True if this entry saw it first and has to announce it.
+        /// True if reportLeaving() was called on this entry, which then announces the
+        /// endpoint.
         bool isOwn { false };
     };
     struct Reception {
-        /// The member that spoke, or null.
+        /// The member that sent the heartbeat, or null.
         Member* member { nullptr };
         std::optional<PeerError> refusal;
     };
@@ -68,8 +69,8 @@
     void noteContact(const std::string& zone, const std::string& region, const SocketAddress& address);
     void markChanged() { m_isViewChanged = true; }
     void reportChange();
-    /// Sends a batch; the callback runs only if this still lives, is active and was
-    /// not frozen since.
+    /// Sends a batch. The callback runs only if this object still exists, is not
+    /// stopped and has not started a new epoch since.
     void send(const SocketAddress& address, std::vector<PeerMessage> batch, PeerTransport::Callback callback);
 
     // HeartbeatExchange.cpp
@@ -137,12 +138,13 @@
     bool m_isStarted { false };
     bool m_isStopped { false };
     bool m_isDraining { false };
-    /// True once another entry took in a heartbeat of this run.
+    /// True once another entry of the zone accepted a heartbeat of this run.
     bool m_isAccepted { false };
     TimePoint m_nextTick {};
     std::optional<TimePoint> m_wokeAt;
     FreezeMark m_freeze;
-    /// Counts freezes and raised incarnations; answers from before are dropped.
+    /// Number of pauses and raised incarnations; replies to messages of an earlier
+    /// epoch are dropped.
     std::uint64_t m_epoch { 0 };
     std::uint64_t m_lastSequence;
     std::uint64_t m_lastVersion { 0 };
@@ -157,7 +159,7 @@
     std::vector<NamedCount> m_load;
     std::vector<NamedCount> m_served;
     std::vector<ModelRoom> m_models;
-    /// Tokens that other entries of the zone were seen to serve, by team.
+    /// Tokens that other entries of the zone reported as served, by team.
     CountTable m_servedByMembers;
 
     MembershipCounters m_counters;
@@ -165,7 +167,7 @@
     bool m_isMembersViewStale { true };
     bool m_isZonesViewStale { true };
     MembershipView m_view;
-    /// Ends with this object; callbacks hold it weakly.
+    /// Expires with this object; callbacks hold a weak pointer to it.
     std::shared_ptr<bool> m_alive;
 };
 
--- a/lib/Membership/ZoneTable.cpp
+++ b/lib/Membership/ZoneTable.cpp
@@ -7,7 +7,7 @@
 
 namespace catkinwing {
 
-// Addresses kept for a zone beside its entries.
+// Maximum number of contact addresses kept for a zone in addition to its entries.
 static constexpr std::size_t maxContacts = 8;
 
 static std::uint32_t nonZero(std::uint64_t hash)
--- a/lib/Membership/ZoneTable.h
+++ b/lib/Membership/ZoneTable.h
@@ -6,56 +6,58 @@
 
 namespace catkinwing {
 
-/// A running total and the version of the digest that told it.
+/// A running total and the version of the digest that contained it.
 struct VersionedTotal {
     std::uint64_t tokens { 0 };
     std::uint64_t version { 0 };
 };
 
-/// What an entry keeps of another availability zone.
+/// State of another availability zone.
 struct Zone {
     std::string region;
-    /// Addresses to try while no entries are known.
+    /// Addresses used when no entries are known or exchanges with them fail.
     std::vector<SocketAddress> contacts;
 
     std::vector<ZoneEntry> entries;
     /// Hash of the entries; zero for none.
     std::uint32_t rosterDigest { 0 };
 
-    /// The latest digest; its age counts from madeAt.
+    /// The latest digest, created at madeAt.
     std::optional<ZoneDigest> digest;
     TimePoint madeAt {};
-    /// True if the digest came from the zone itself and not through a member.
+    /// True if the digest came from the zone itself and not through a member of this
+    /// entry's zone.
     bool isDirect { false };
-    /// Counts the digests taken in here; zero for none.
+    /// Version that this entry assigned to the latest digest, increasing over all
+    /// zones; zero for none.
     std::uint64_t version { 0 };
     ServedTracker served;
-    /// Totals as the relay last told them, and the version of that digest.
+    /// Latest totals from the zone's relay by team, with the digest version of each.
     std::map<std::string, VersionedTotal> totals;
     bool wasReachable { false };
 
-    /// Hash of this zone's entries as the other zone has them.
+    /// Hash of this entry's zone's entries as known to the other zone.
     std::uint32_t theirRoster { 0 };
     std::uint32_t theirZonesDigest { 0 };
     std::optional<TimePoint> contactsSentAt;
     CountTable toldServed;
-    /// Hash of this zone's entries when they were last told.
+    /// Hash of this entry's zone's entries in the last digest sent.
     std::uint32_t toldRoster { 0 };
 
     bool isExchanging { false };
     std::uint32_t failures { 0 };
     TimePoint nextExchange {};
     TimePoint lastExchange {};
-    /// Time at which waiting for a digest began.
+    /// Time since which a first digest is awaited.
     TimePoint waitsSince {};
     std::optional<TimePoint> configReportedAt;
 
-    /// Returns the time since the digest was made, or since waiting for one began.
+    /// Returns the time since the digest was created, or since one is awaited.
     Duration age(TimePoint now) const { return now - (digest ? madeAt : waitsSince); }
-    /// Adds an address to the contacts.
+    /// Adds an address to the contacts; evicts the oldest if there are too many.
     void addContact(const SocketAddress& address);
-    /// Returns an address of the zone to speak to, the first by rank; each failure
-    /// moves on to the next. None if no address is known.
+    /// Returns the address for the next exchange: the entries by rank, then the
+    /// contacts, advanced by one for each failure. None if no address is known.
     std::optional<SocketAddress> target(const std::string& zone, const std::string& ownZone) const;
 };
 
@@ -70,9 +72,9 @@
     Zone* find(const std::string& name);
     /// Returns the zone, which is added if it is new; null for the own zone.
     Zone* findOrAdd(const std::string& name, const std::string& region, TimePoint now);
-    /// Returns a hash of the names, the own among them; never zero.
+    /// Returns a hash of the zone names, this entry's zone included; never zero.
     std::uint32_t digest() const { return m_digest; }
-    /// Returns an address for each zone.
+    /// Returns one address for each zone that has any.
     std::vector<ZoneContact> contacts() const;
 
 private:
@@ -81,7 +83,7 @@
     std::uint32_t m_digest;
 };
 
-/// Returns a hash of entries; never zero.
+/// Returns a hash of the entries of a zone; never zero.
 std::uint32_t rosterDigestOf(const std::vector<ZoneEntry>& entries);
 
 } // namespace catkinwing
--- a/unittests/Membership/FakeNetwork.cpp
+++ b/unittests/Membership/FakeNetwork.cpp
@@ -105,7 +105,8 @@
 void FakeNetwork::kill(FakeNode& node)
 {
     m_order.erase(std::find(m_order.begin(), m_order.end(), &node));
-    // Its timers and callbacks stay behind in the scheduler, so it is only emptied.
+    // The scheduler still holds timers and callbacks that refer to the node, so only
+    // its membership is destroyed.
     node.scheduler.freeze();
     auto dead = m_nodes.extract(node.address);
     dead.mapped()->membership.reset();
--- a/unittests/Membership/FakeNetwork.h
+++ b/unittests/Membership/FakeNetwork.h
@@ -10,7 +10,8 @@
 
 class FakeNetwork;
 
-/// Scheduler of one node: on the shared time, but held up while the node is frozen.
+/// Scheduler of one node. It uses the shared time and defers callbacks while the node
+/// is paused.
 class NodeScheduler final : public Scheduler {
 public:
     explicit NodeScheduler(ManualScheduler& shared)
@@ -21,10 +22,11 @@
     const Clock& clock() const override { return m_shared.clock(); }
     TimerId callAfter(Duration delay, Callback callback) override;
     void cancel(TimerId timer) override { m_shared.cancel(timer); }
-    /// Runs \p work now, or at the thaw.
+    /// Runs \p work now, or on resumption if the node is paused.
     void run(Callback work);
     void freeze() { m_isFrozen = true; }
-    /// Runs what waited, the latest first, so that late timers find messages handled.
+    /// Runs the deferred callbacks, the latest first, so that messages are handled
+    /// before overdue timers.
     void thaw();
 
 private:
@@ -44,11 +46,11 @@
     /// Returns the replies to a batch that has arrived.
     std::vector<PeerReply> receive(const std::vector<PeerMessage>& batch);
 
-    /// Returns what this node has of the member, or null.
+    /// Returns this node's view of the member, or null.
     const MemberView* member(const std::string& name);
-    /// Returns whether this node would give the member new work.
+    /// Returns whether this node regards the member as usable for new work.
     bool uses(const std::string& name);
-    /// Returns what this node has of the zone, or null.
+    /// Returns this node's view of the zone, or null.
     const ZoneView* zone(const std::string& name);
 
     const SocketAddress address;
@@ -68,7 +70,8 @@
     FakeNetwork& m_network;
 };
 
-/// Network that loses, delays and cuts, and carries only bytes of the codec.
+/// Network with configurable loss, latency and cut links; messages pass through the
+/// codec.
 class FakeNetwork {
 public:
     explicit FakeNetwork(std::uint64_t seed)
@@ -80,16 +83,16 @@
     FakeNode& add(const std::string& name, const std::string& zone, const SocketAddress& address);
     /// As above, with the start of its incarnation given.
     FakeNode& add(const std::string& name, const std::string& zone, const SocketAddress& address, std::uint64_t start);
-    /// Ends an entry at once.
+    /// Terminates an entry without an announcement.
     void kill(FakeNode& node);
-    /// Cuts one way, from \p from to \p to.
+    /// Drops messages from \p from to \p to.
     void cutOneWay(const FakeNode& from, const FakeNode& to) { m_cuts.insert({ from.address, to.address }); }
-    /// Cuts both ways.
+    /// Drops messages in both directions.
     void cut(const FakeNode& a, const FakeNode& b);
     void heal() { m_cuts.clear(); }
     void advance(Duration span) { m_scheduler.advance(span); }
-    /// Moves time until \p condition holds and returns how long that took, or none
-    /// if it didn't within \p limit.
+    /// Advances the time until \p condition holds and returns the time passed, or none
+    /// if the condition doesn't hold within \p limit.
     std::optional<Duration> advanceUntil(Duration limit, const std::function<bool()>& condition);
 
     void carry(FakeNode& from, const SocketAddress& to, const std::vector<PeerMessage>& batch, PeerTransport::Callback callback);
@@ -100,7 +103,7 @@
     MembershipOptions options;
     Duration latency { std::chrono::milliseconds(1) };
     Duration timeout { std::chrono::seconds(1) };
-    /// Part of the messages and replies that are lost.
+    /// Fraction of the messages and replies that are lost.
     double loss { 0 };
 
 private:
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -14,7 +14,7 @@
 
 static const std::string zoneName = "perth-a";
 
-// Starts entries e1 to eN, each of which knows only the first one's address.
+// Starts entries e1 to eN; each knows only the address of e1.
 static std::vector<FakeNode*> startZone(FakeNetwork& network, int count)
 {
     std::vector<FakeNode*> nodes;
@@ -43,14 +43,14 @@
     return view->state;
 }
 
-TEST_CASE("entries that know one seed find each other")
+TEST_CASE("entries that know the same seed discover each other")
 {
     FakeNetwork network(1);
     std::vector<FakeNode*> nodes = startZone(network, 9);
     CHECK(network.advanceUntil(4s, [&] { return allUseAll(nodes); }).has_value());
 }
 
-TEST_CASE("a zone of one entry serves alone")
+TEST_CASE("an entry alone in its zone has no members and reports no pause")
 {
     FakeNetwork network(2);
     std::vector<FakeNode*> nodes = startZone(network, 1);
@@ -59,7 +59,7 @@
     CHECK(nodes[0]->freezes.empty());
 }
 
-TEST_CASE("a quiet zone stays whole for an hour though messages are lost")
+TEST_CASE("no member is considered dead within an hour at 2% message loss")
 {
     FakeNetwork network(3);
     std::vector<FakeNode*> nodes = startZone(network, 5);
@@ -70,13 +70,14 @@
         CHECK(node->membership->counters().membersDied == 0);
 }
 
-TEST_CASE("a dead entry is no longer used, then suspect, then dead, in bounded time")
+TEST_CASE("a terminated entry becomes unusable, suspect and dead within bounded times")
 {
     FakeNetwork network(4);
     std::vector<FakeNode*> nodes = startZone(network, 9);
     REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
     network.advance(10s);
-    // The first by name begins the exchanges, so its death is noticed last.
+    // The entry with the lowest name starts the exchanges, so its termination is
+    // detected latest.
     network.kill(*nodes[0]);
     nodes.erase(nodes.begin());
     const TimePoint killedAt = network.scheduler().clock().now();
@@ -84,16 +85,16 @@
         REQUIRE(network.advanceUntil(20s, [&] { return std::all_of(nodes.begin(), nodes.end(), condition); }));
         return network.scheduler().clock().now() - killedAt;
     };
-    // 4/3 of the interval of 2.4 s, a retry after 0.5 s, a tenth of jitter on both,
-    // two looks.
+    // The bound covers 4/3 of the interval of 2.4 s, a retry after 0.5 s, 10% jitter
+    // on both and two timer ticks.
     CHECK(untilAll([](FakeNode* node) { return !node->uses("e1"); }) <= 4500ms);
-    // Two and four intervals, and a look.
+    // The bounds cover two and four intervals and a timer tick.
     CHECK(untilAll([](FakeNode* node) { return stateAt(*node, "e1") >= MemberState::Suspect; }) <= 5100ms);
     CHECK(untilAll([](FakeNode* node) { return stateAt(*node, "e1") == MemberState::Dead; }) <= 9900ms);
     CHECK(allUseAll(nodes));
 }
 
-TEST_CASE("an entry that exits is dead at once to all")
+TEST_CASE("an entry that announces its exit is dead to all members immediately")
 {
     FakeNetwork network(5);
     std::vector<FakeNode*> nodes = startZone(network, 4);
@@ -104,7 +105,7 @@
         CHECK(stateAt(*nodes[i], "e4") == MemberState::Dead);
 }
 
-TEST_CASE("a frozen entry drops its views and reports it before it handles anything")
+TEST_CASE("a paused entry discards its views and reports the pause before it handles messages")
 {
     FakeNetwork network(6);
     std::vector<FakeNode*> nodes = startZone(network, 4);
@@ -118,7 +119,7 @@
     REQUIRE(frozen.freezes.size() == 1);
     CHECK(frozen.freezes[0] > 29s);
     CHECK(frozen.freezes[0] <= 30s);
-    // The messages that waited are no proof that anyone is there now.
+    // Messages queued during the pause don't show that their senders are live now.
     for (const char* name : { "e1", "e2", "e4" })
         CHECK_FALSE(frozen.uses(name));
     CHECK(network.advanceUntil(15s, [&] { return allUseAll(nodes); }));
@@ -127,7 +128,7 @@
     CHECK(frozen.freezes.size() == 1);
 }
 
-TEST_CASE("the freeze is reported even if a lease is asked about before any timer runs")
+TEST_CASE("checkFrozen reports a pause before any timer runs")
 {
     FakeNetwork network(7);
     std::vector<FakeNode*> nodes = startZone(network, 2);
@@ -139,7 +140,7 @@
     CHECK_FALSE(nodes[0]->uses("e2"));
 }
 
-TEST_CASE("a short pause isn't taken for a freeze")
+TEST_CASE("a delay below the freeze margin isn't reported as a pause")
 {
     FakeNetwork network(8);
     std::vector<FakeNode*> nodes = startZone(network, 2);
@@ -150,7 +151,7 @@
     CHECK(nodes[0]->freezes.empty());
 }
 
-TEST_CASE("neither side of a cut that is one way gives the other work")
+TEST_CASE("neither side of a one-way network cut regards the other as usable")
 {
     FakeNetwork network(9);
     std::vector<FakeNode*> nodes = startZone(network, 4);
@@ -167,7 +168,7 @@
     CHECK(network.advanceUntil(15s, [&] { return allUseAll(nodes); }));
 }
 
-TEST_CASE("an instance at a used address never gets the earlier one's identity")
+TEST_CASE("an entry at a reused address doesn't take over the identity of the earlier one")
 {
     FakeNetwork network(10);
     std::vector<FakeNode*> nodes = startZone(network, 3);
@@ -198,7 +199,7 @@
     CHECK(nodes[0]->member("e3")->identity.ref == later.membership->self().ref);
 }
 
-TEST_CASE("an earlier run that wakes after its successor started is refused and told so")
+TEST_CASE("an earlier run that resumes after its successor started is refused and superseded")
 {
     FakeNetwork network(12);
     std::vector<FakeNode*> nodes = startZone(network, 3);
@@ -215,7 +216,7 @@
     CHECK(nodes[0]->membership->counters().oldIncarnationsRefused + nodes[1]->membership->counters().oldIncarnationsRefused > 0);
 }
 
-TEST_CASE("a run whose clock is behind its dead predecessor's is taken in under a raised incarnation")
+TEST_CASE("a run whose clock is behind its dead predecessor's joins with a raised incarnation")
 {
     FakeNetwork network(13);
     std::vector<FakeNode*> nodes = startZone(network, 2);
@@ -232,7 +233,7 @@
     CHECK_FALSE(late.isSuperseded);
 }
 
-TEST_CASE("both sides of a partition go on and join again when it heals")
+TEST_CASE("both sides of a partition keep working and merge when it heals")
 {
     FakeNetwork network(14);
     std::vector<FakeNode*> nodes = startZone(network, 6);
@@ -255,7 +256,7 @@
     CHECK(network.advanceUntil(20s, [&] { return allUseAll(nodes); }));
 }
 
-TEST_CASE("a drain is known to the zone at once and survives lost messages")
+TEST_CASE("a drain reaches the members of the zone although messages are lost")
 {
     FakeNetwork network(15);
     std::vector<FakeNode*> nodes = startZone(network, 5);
@@ -274,7 +275,7 @@
     CHECK(nodes[0]->member("e2")->hearsUs);
 }
 
-TEST_CASE("a leaving endpoint is known to the zone within two seconds by its run")
+TEST_CASE("a leaving run of an endpoint is announced to the zone within two seconds")
 {
     FakeNetwork network(16);
     std::vector<FakeNode*> nodes = startZone(network, 9);
@@ -289,7 +290,8 @@
         REQUIRE(nodes[i]->leaving.size() == 1);
         CHECK(nodes[i]->leaving[0] == EndpointLeaving { "replica-7", "run-1" });
     }
-    // Over the cut it comes through the others, and it is told once.
+    // The other members pass the announcement around the cut, and each entry reports
+    // it once.
     network.advance(4s);
     CHECK(nodes[5]->leaving.size() == 1);
     CHECK(nodes[1]->leaving.size() == 1);
@@ -323,7 +325,7 @@
     CHECK(nodes[0]->configPeers[0].configDigest == 2);
 }
 
-TEST_CASE("demand, load and served tokens reach the others though messages are lost")
+TEST_CASE("demand, load and served tokens reach the members although messages are lost")
 {
     FakeNetwork network(18);
     std::vector<FakeNode*> nodes = startZone(network, 3);
--- a/unittests/Membership/ZoneExchangeTest.cpp
+++ b/unittests/Membership/ZoneExchangeTest.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Three zones of three entries; each zone knows one contact of the next.
+// Three zones of three entries each; each zone knows one contact in the next zone.
 class ThreeZones {
 public:
     explicit ThreeZones(std::uint64_t seed)
@@ -61,14 +61,14 @@
 
 } // namespace
 
-TEST_CASE("all entries learn all zones and their entries")
+TEST_CASE("all entries discover all zones and their entries")
 {
     ThreeZones zones(21);
     CHECK(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
     CHECK(zones.nodes[0]->zone("bunbury-a")->region == "bunbury");
 }
 
-TEST_CASE("room of a zone reaches the entries of the others")
+TEST_CASE("the free capacity of a zone reaches the entries of the other zones")
 {
     ThreeZones zones(22);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
@@ -86,7 +86,7 @@
     }
 }
 
-TEST_CASE("two zones that know no one in common find each other through a third")
+TEST_CASE("two zones without a contact of each other discover each other through a third")
 {
     FakeNetwork network(23);
     for (std::size_t zone = 0; zone < zoneNames.size(); ++zone)
@@ -101,7 +101,7 @@
     CHECK(network.advanceUntil(40s, isKnown));
 }
 
-TEST_CASE("a relay that dies is replaced and the digests go on")
+TEST_CASE("a terminated relay is replaced and digests continue")
 {
     ThreeZones zones(24);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
@@ -122,7 +122,7 @@
     CHECK(zones.network.advanceUntil(20s, [&] { return zones.nodes[8]->zone("perth-a")->entries.size() == 2; }));
 }
 
-TEST_CASE("the second relay steps in when the first can't reach the zone")
+TEST_CASE("the standby relay takes over when the first can't reach the zone")
 {
     ThreeZones zones(25);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
@@ -140,7 +140,7 @@
     }
 }
 
-TEST_CASE("zones that are cut off count as unreachable and come back")
+TEST_CASE("zones that are cut off become unreachable, and reachable again after the cut")
 {
     ThreeZones zones(26);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
@@ -157,7 +157,7 @@
     CHECK(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
 }
 
-TEST_CASE("digests that are lost now and then leave the zones reachable")
+TEST_CASE("zones stay reachable at 10% message loss")
 {
     ThreeZones zones(27);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
@@ -168,7 +168,7 @@
     }
 }
 
-TEST_CASE("an entry that drains is marked as such in the other zones within seconds")
+TEST_CASE("a draining entry is marked as draining in the other zones within 6 s")
 {
     ThreeZones zones(28);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
@@ -181,7 +181,7 @@
     CHECK(zones.network.advanceUntil(6s, [&] { return std::all_of(zones.nodes.begin(), zones.nodes.begin() + 6, isDrainingAt); }));
 }
 
-TEST_CASE("tokens served in one zone reach the others of its region alone")
+TEST_CASE("tokens served in a zone are reported only to zones of the same region")
 {
     ThreeZones zones(29);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
@@ -198,7 +198,7 @@
     }
 }
 
-TEST_CASE("a frozen entry holds no zone for reachable when it wakes")
+TEST_CASE("a resumed entry regards no zone as reachable until new digests arrive")
 {
     ThreeZones zones(30);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
