--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -190,12 +190,12 @@
 PeerReply Membership::Impl::answer(const ZoneDigest& digest)
 {
     if (!isActive() || hasJustWoken())
-        return PeerError { PeerErrorCode::Unavailable, "entry is not accepting zone digests: not active or just resumed from a pause", std::nullopt };
+        return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take digests now", std::nullopt };
     if (digest.region.empty())
-        return PeerError { PeerErrorCode::Malformed, "zone digest has no region", std::nullopt };
+        return PeerError { PeerErrorCode::Malformed, "the digest names no region", std::nullopt };
     Zone* zone = m_zones.findOrAdd(digest.zone, digest.region, now());
     if (!zone)
-        return PeerError { PeerErrorCode::Unavailable, "zone digest comes from the receiver's own zone", std::nullopt };
+        return PeerError { PeerErrorCode::Unavailable, "the digest is of this zone", std::nullopt };
     receiveDirect(digest);
     return digestFor(*zone);
 }
--- a/lib/Membership/HeartbeatReception.cpp
+++ b/lib/Membership/HeartbeatReception.cpp
@@ -6,7 +6,7 @@
 {
     // Messages that were queued in a socket during a pause are out of date.
     if (!isActive() || hasJustWoken())
-        return PeerError { PeerErrorCode::Unavailable, "entry is not accepting heartbeats: not active or just resumed from a pause", std::nullopt };
+        return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take heartbeats now", std::nullopt };
     Reception reception = receive(heartbeat);
     if (reception.refusal)
         return *reception.refusal;
@@ -30,9 +30,9 @@
         return {};
     }
     if (theirs < ours)
-        return { nullptr, PeerError { PeerErrorCode::OldIncarnation, "a later run of the entry is live", ours } };
+        return { nullptr, PeerError { PeerErrorCode::OldIncarnation, "a later run of this name is alive", ours } };
     supersede();
-    return { nullptr, PeerError { PeerErrorCode::Unavailable, "entry was superseded by a later run", std::nullopt } };
+    return { nullptr, PeerError { PeerErrorCode::Unavailable, "the entry is superseded", std::nullopt } };
 }
 
 Membership::Impl::Reception Membership::Impl::receive(const Heartbeat& heartbeat)
@@ -46,11 +46,11 @@
         ++m_counters.oldIncarnationsRefused;
         bool isAlive = member->state != MemberState::Dead;
         PeerErrorCode code = isAlive ? PeerErrorCode::OldIncarnation : PeerErrorCode::LowIncarnation;
-        return { nullptr, PeerError { code, "a later run of the entry is known", member->identity.ref.incarnation } };
+        return { nullptr, PeerError { code, "a later run of this name is known", member->identity.ref.incarnation } };
     }
     bool isKnownRun = member && member->identity.ref == sender.ref;
     if (sender.zone.empty() && !isKnownRun)
-        return { nullptr, PeerError { PeerErrorCode::UnknownRun, "run of the entry is unknown to the receiver", std::nullopt } };
+        return { nullptr, PeerError { PeerErrorCode::UnknownRun, "the run is not known here", std::nullopt } };
     if (!sender.zone.empty() && sender.zone != m_self.zone) {
         noteContact(sender.zone, sender.region, sender.peerAddress);
         return {};
