--- a/include/catkinwing/Membership/MembershipOptions.h
+++ b/include/catkinwing/Membership/MembershipOptions.h
@@ -43,7 +43,7 @@
     /// Interval of the timer that starts due exchanges and updates states.
     Duration tickInterval { std::chrono::milliseconds(200) };
     /// Delay of the timer beyond which the process counts as having been paused.
-    Duration freezeMargin { std::chrono::seconds(1) };
+    Duration pauseThreshold { std::chrono::seconds(1) };
     /// Interval between exchanges with another zone of the same region.
     Duration regionDigestInterval { std::chrono::seconds(5) };
     /// Interval between exchanges with a zone of another region.
--- a/lib/Membership/Announcements.cpp
+++ b/lib/Membership/Announcements.cpp
@@ -15,7 +15,7 @@
     reportChange();
 }
 
-void Membership::Impl::announceGone()
+void Membership::Impl::announceExit()
 {
     if (!isActive())
         return;
@@ -28,7 +28,7 @@
 
 void Membership::Impl::reportLeaving(const EndpointLeaving& endpoint)
 {
-    checkFrozen();
+    checkForPause();
     auto [entry, isNew] = m_leaving.try_emplace(endpoint, LeavingState { now(), true });
     if (!isNew)
         return;
@@ -39,15 +39,15 @@
     reportChange();
 }
 
-std::vector<EndpointLeaving> Membership::Impl::owedLeaving(const Member& member) const
+std::vector<EndpointLeaving> Membership::Impl::pendingLeaving(const Member& member) const
 {
-    std::vector<EndpointLeaving> owed;
+    std::vector<EndpointLeaving> pending;
     for (const auto& [endpoint, state] : m_leaving) {
         bool isAnnounced = state.isOwn && now() - state.since <= m_options.announceFor;
         if (isAnnounced && !member.channel.knowsLeaving(endpoint))
-            owed.push_back(endpoint);
+            pending.push_back(endpoint);
     }
-    return owed;
+    return pending;
 }
 
 void Membership::Impl::flushAnnouncements()
@@ -63,7 +63,7 @@
 
 void Membership::Impl::announceTo(Member& member)
 {
-    std::vector<EndpointLeaving> endpoints = owedLeaving(member);
+    std::vector<EndpointLeaving> endpoints = pendingLeaving(member);
     std::vector<PeerMessage> batch(endpoints.begin(), endpoints.end());
     if (member.owesLeaving)
         batch.emplace_back(EntryLeaving { m_self.ref, false });
@@ -93,7 +93,7 @@
         member->channel.noteLeaving(endpoint);
 }
 
-void Membership::Impl::noteLeaving(const EndpointLeaving& endpoint, Member* source)
+void Membership::Impl::recordLeaving(const EndpointLeaving& endpoint, Member* source)
 {
     if (source)
         source->channel.noteLeaving(endpoint);
@@ -107,7 +107,7 @@
 
 PeerReply Membership::Impl::answer(const EndpointLeaving& endpoint)
 {
-    noteLeaving(endpoint, nullptr);
+    recordLeaving(endpoint, nullptr);
     return Acknowledgement {};
 }
 
--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -44,13 +44,13 @@
     return isDigestFresh(m_options, zone.age(now()), expected, interval());
 }
 
-void Membership::Impl::judgeZones()
+void Membership::Impl::updateZoneReachability()
 {
     for (auto& [name, zone] : m_zones.all()) {
-        bool isReached = isReachable(zone);
-        if (isReached != zone.wasReachable)
+        bool isNowReachable = isReachable(zone);
+        if (isNowReachable != zone.wasReachable)
             markChanged();
-        zone.wasReachable = isReached;
+        zone.wasReachable = isNowReachable;
     }
 }
 
@@ -62,8 +62,8 @@
     if (relays.front() == m_self.ref.name)
         return true;
     bool isStandby = relays.size() > 1 && relays[1] == m_self.ref.name;
-    Duration patience = digestInterval(m_options, zone.region, m_self.region) * standbyIntervals + interval();
-    return isStandby && zone.age(now()) > patience;
+    Duration standbyDelay = digestInterval(m_options, zone.region, m_self.region) * standbyIntervals + interval();
+    return isStandby && zone.age(now()) > standbyDelay;
 }
 
 void Membership::Impl::exchangeWithZones()
@@ -72,7 +72,7 @@
     for (auto& [name, zone] : m_zones.all()) {
         // A change of this zone's entries brings the next exchange forward. This
         // also holds for an entry that has just become the relay.
-        if (zone.digest && zone.toldRoster != roster)
+        if (zone.digest && zone.sentRoster != roster)
             zone.nextExchange = std::min(zone.nextExchange, std::max(zone.lastExchange, zone.madeAt) + m_options.digestRetryInterval);
         if (isDue(name, zone))
             exchangeWith(name, zone);
@@ -101,8 +101,8 @@
         ++zone->failures;
         // The other zone may have received the digest although the reply was lost or
         // invalid. Its state is unknown, so the next digest contains everything.
-        zone->theirRoster = 0;
-        zone->toldServed.clear();
+        zone->peerKnownRoster = 0;
+        zone->sentServed.clear();
         zone->nextExchange = now() + jittered(std::min(expected, m_options.digestRetryInterval));
         return;
     }
@@ -112,12 +112,12 @@
 
 // Adds the changed totals and records them as sent before they are acknowledged. If
 // the digest is lost, the exchange fails and all totals are sent again.
-static void tellServed(const std::vector<NamedCount>& totals, CountTable& told, std::size_t limit, ZoneDigest& digest)
+static void addServedTotals(const std::vector<NamedCount>& totals, CountTable& sent, std::size_t limit, ZoneDigest& digest)
 {
-    TopChanges changes = topChanges(totals, told, limit);
+    TopChanges changes = topChanges(totals, sent, limit);
     digest.hasMoreServed = changes.hasMore;
     for (const NamedCount& item : changes.items) {
-        told[item.name] = item.count;
+        sent[item.name] = item.count;
         digest.served.push_back({ item.name, item.count });
     }
 }
@@ -144,25 +144,25 @@
     std::vector<ZoneEntry> entries = ownEntries();
     digest.rosterDigest = rosterDigestOf(entries);
     digest.knownRoster = zone.rosterDigest;
-    if (zone.theirRoster != digest.rosterDigest)
+    if (zone.peerKnownRoster != digest.rosterDigest)
         digest.entries = std::move(entries);
     digest.models = m_models;
     // Team shares are computed per region, so other regions need no totals.
     if (zone.region == m_self.region)
-        tellServed(sumOf(m_served, m_servedByMembers), zone.toldServed, m_options.teamsPerDigest, digest);
+        addServedTotals(sumOf(m_served, m_servedByMembers), zone.sentServed, m_options.teamsPerDigest, digest);
     digest.configDigest = m_configDigest;
     digest.zonesDigest = m_zones.digest();
-    bool mayTellContacts = !zone.contactsSentAt || now() - *zone.contactsSentAt >= m_options.contactsInterval;
-    if (zone.theirZonesDigest != digest.zonesDigest && mayTellContacts) {
+    bool shouldSendContacts = !zone.contactsSentAt || now() - *zone.contactsSentAt >= m_options.contactsInterval;
+    if (zone.peerZonesDigest != digest.zonesDigest && shouldSendContacts) {
         digest.contacts = m_zones.contacts();
         zone.contactsSentAt = now();
     }
-    zone.toldRoster = digest.rosterDigest;
+    zone.sentRoster = digest.rosterDigest;
     zone.lastExchange = now();
     return digest;
 }
 
-ZoneDigest Membership::Impl::relayed(const Zone& zone, std::uint64_t knownVersion) const
+ZoneDigest Membership::Impl::relayedDigest(const Zone& zone, std::uint64_t knownVersion) const
 {
     ZoneDigest digest = *zone.digest;
     // A digest that was replaced before it was forwarded may have contained other
@@ -189,7 +189,7 @@
 
 PeerReply Membership::Impl::answer(const ZoneDigest& digest)
 {
-    if (!isActive() || hasJustWoken())
+    if (!isActive() || hasJustResumed())
         return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take digests now", std::nullopt };
     if (digest.region.empty())
         return PeerError { PeerErrorCode::Malformed, "the digest names no region", std::nullopt };
@@ -204,10 +204,10 @@
 {
     ++m_counters.digestsReceived;
     Zone& zone = *m_zones.find(digest.zone);
-    zone.theirRoster = digest.knownRoster;
-    zone.theirZonesDigest = digest.zonesDigest;
+    zone.peerKnownRoster = digest.knownRoster;
+    zone.peerZonesDigest = digest.zonesDigest;
     for (const ZoneContact& contact : digest.contacts)
-        noteContact(contact.zone, contact.region, contact.peerAddress);
+        addZoneContact(contact.zone, contact.region, contact.peerAddress);
     accept(zone, digest, true);
     if (digest.configDigest == m_configDigest)
         return;
@@ -252,7 +252,7 @@
         zone.totals.clear();
     }
     for (const TeamTokens& total : digest.served) {
-        noteServed(digest.zone, digest.region, total, zone.served);
+        recordServed(digest.zone, digest.region, total, zone.served);
         zone.totals[total.team] = { total.tokens, zone.version };
     }
     if (!digest.hasMoreServed)
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -27,7 +27,7 @@
         m_events.onMemberState(member.identity.ref, state);
 }
 
-void Membership::Impl::judgeMembers()
+void Membership::Impl::updateMemberStates()
 {
     Duration exchange = interval();
     auto& members = m_members.all();
@@ -62,10 +62,10 @@
 
 // One exchange serves both sides, so the side with the lower name starts it. The
 // other side waits longer and starts an exchange only if no heartbeat arrived.
-Duration Membership::Impl::pauseBefore(const Member& member)
+Duration Membership::Impl::delayBeforeNextExchange(const Member& member)
 {
-    Duration pause = jittered(interval());
-    return m_self.ref.name < member.identity.ref.name ? pause : pause * backupNumerator / backupDenominator;
+    Duration delay = jittered(interval());
+    return m_self.ref.name < member.identity.ref.name ? delay : delay * backupNumerator / backupDenominator;
 }
 
 void Membership::Impl::exchangeWith(Member& member)
@@ -81,7 +81,7 @@
     if (member)
         member->isExchanging = false;
     if (!replies.ok() || replies->size() != 1) {
-        noteFailure(ref);
+        recordExchangeFailure(ref);
         return;
     }
     receiveReply(replies->front());
@@ -92,14 +92,14 @@
         const auto* error = std::get_if<PeerError>(&replies->front());
         if (member && error && error->code == PeerErrorCode::UnknownRun)
             member->channel.reset();
-        noteFailure(ref);
+        recordExchangeFailure(ref);
         return;
     }
     member->failures = 0;
-    member->nextExchange = now() + pauseBefore(*member);
+    member->nextExchange = now() + delayBeforeNextExchange(*member);
 }
 
-void Membership::Impl::noteFailure(const EntryRef& ref)
+void Membership::Impl::recordExchangeFailure(const EntryRef& ref)
 {
     ++m_counters.sendFailures;
     Member* member = m_members.find(ref);
@@ -139,7 +139,7 @@
 void Membership::Impl::receiveReply(const PeerReply& reply)
 {
     if (const auto* error = std::get_if<PeerError>(&reply)) {
-        refusedBy(*error);
+        handleRefusal(*error);
         return;
     }
     const auto* heartbeat = std::get_if<Heartbeat>(&reply);
@@ -149,7 +149,7 @@
         m_isAccepted = true;
 }
 
-void Membership::Impl::refusedBy(const PeerError& error)
+void Membership::Impl::handleRefusal(const PeerError& error)
 {
     if (!error.known || !(m_self.ref.incarnation < *error.known))
         return;
@@ -171,7 +171,7 @@
     heartbeat.hashes = StateHashes { m_configDigest, m_members.digest(m_self.ref), m_zones.digest() };
     if (m_freeze.count > 0) {
         heartbeat.freeze = m_freeze;
-        heartbeat.freeze->age = now() - *m_wokeAt;
+        heartbeat.freeze->age = now() - *m_resumedAt;
     }
     ++m_counters.heartbeatsSent;
     return heartbeat;
@@ -205,8 +205,8 @@
     heartbeat.leaving = content.leaving;
     if (member.hashes.members != content.hashes.members)
         heartbeat.members = m_members.addresses();
-    bool mayTellContacts = !member.contactsSentAt || now() - *member.contactsSentAt >= m_options.contactsInterval;
-    if (member.hashes.zones != content.hashes.zones && mayTellContacts) {
+    bool shouldSendContacts = !member.contactsSentAt || now() - *member.contactsSentAt >= m_options.contactsInterval;
+    if (member.hashes.zones != content.hashes.zones && shouldSendContacts) {
         heartbeat.contacts = m_zones.contacts();
         member.contactsSentAt = now();
     }
@@ -222,14 +222,14 @@
             continue;
         bool isVersionKnown = member.channel.digestVersion(name) == zone.version;
         bool isRosterKnown = member.channel.rosterDigest(name) == zone.rosterDigest;
-        bool hasRosterRoom = content.rosters.size() < m_options.rostersPerHeartbeat;
-        bool tellsRoster = !isRosterKnown && hasRosterRoom;
+        bool hasRosterCapacity = content.rosters.size() < m_options.rostersPerHeartbeat;
+        bool sendsRoster = !isRosterKnown && hasRosterCapacity;
         // A new zone is unusable without its entries, so its digest waits until a
         // heartbeat can include them.
-        if (isRosterKnown ? isVersionKnown : !hasRosterRoom)
+        if (isRosterKnown ? isVersionKnown : !hasRosterCapacity)
             continue;
-        ZoneDigest digest = relayed(zone, member.channel.digestVersion(name));
-        if (tellsRoster) {
+        ZoneDigest digest = relayedDigest(zone, member.channel.digestVersion(name));
+        if (sendsRoster) {
             digest.region = zone.region;
             digest.entries = zone.entries;
             content.rosters.push_back({ name, zone.rosterDigest });
--- a/lib/Membership/HeartbeatReception.cpp
+++ b/lib/Membership/HeartbeatReception.cpp
@@ -5,7 +5,7 @@
 PeerReply Membership::Impl::answer(const Heartbeat& heartbeat)
 {
     // Messages that were queued in a socket during a pause are out of date.
-    if (!isActive() || hasJustWoken())
+    if (!isActive() || hasJustResumed())
         return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take heartbeats now", std::nullopt };
     Reception reception = receive(heartbeat);
     if (reception.refusal)
@@ -17,7 +17,7 @@
     // exchange with the sender failed, the next exchange is not postponed: only an
     // exchange that this entry starts tests the path to the sender.
     if (member.failures == 0 && member.hearsUs(m_options, now(), interval()))
-        member.nextExchange = now() + pauseBefore(member);
+        member.nextExchange = now() + delayBeforeNextExchange(member);
     return heartbeatFor(member);
 }
 
@@ -52,7 +52,7 @@
     if (sender.zone.empty() && !isKnownRun)
         return { nullptr, PeerError { PeerErrorCode::UnknownRun, "the run is not known here", std::nullopt } };
     if (!sender.zone.empty() && sender.zone != m_self.zone) {
-        noteContact(sender.zone, sender.region, sender.peerAddress);
+        addZoneContact(sender.zone, sender.region, sender.peerAddress);
         return {};
     }
     if (!isKnownRun)
@@ -114,7 +114,7 @@
     if (heartbeat.hashes)
         member.hashes = *heartbeat.hashes;
     applyLoad(member, heartbeat);
-    applyHearsay(member, heartbeat);
+    applyRelayedState(member, heartbeat);
     bool isUsable = member.isUsable(m_options, now(), interval());
     if (isUsable != member.wasUsable)
         markChanged();
@@ -134,19 +134,19 @@
             member.load[load.endpoint] = load.inFlight;
     }
     for (const TeamTokens& total : heartbeat.served)
-        noteServed(m_self.zone, m_self.region, total, member.served);
+        recordServed(m_self.zone, m_self.region, total, member.served);
     if (!heartbeat.hasMoreServed)
         member.served.noteComplete();
 }
 
-void Membership::Impl::applyHearsay(Member& member, const Heartbeat& heartbeat)
+void Membership::Impl::applyRelayedState(Member& member, const Heartbeat& heartbeat)
 {
     for (const EndpointLeaving& endpoint : heartbeat.leaving)
-        noteLeaving(endpoint, &member);
+        recordLeaving(endpoint, &member);
     for (const SocketAddress& address : heartbeat.members)
         addCandidate(address);
     for (const ZoneContact& contact : heartbeat.contacts)
-        noteContact(contact.zone, contact.region, contact.peerAddress);
+        addZoneContact(contact.zone, contact.region, contact.peerAddress);
     for (const ZoneDigest& digest : heartbeat.digests) {
         bool canAdd = !digest.region.empty();
         Zone* zone = canAdd ? m_zones.findOrAdd(digest.zone, digest.region, now()) : m_zones.find(digest.zone);
@@ -164,7 +164,7 @@
         m_events.onConfigDiffers(peer);
 }
 
-void Membership::Impl::noteServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker)
+void Membership::Impl::recordServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker)
 {
     std::uint64_t tokens = tracker.increment(total);
     if (tokens == 0)
--- a/lib/Membership/Membership.cpp
+++ b/lib/Membership/Membership.cpp
@@ -10,7 +10,7 @@
 static constexpr std::uint64_t firstSequenceBound = 1U << 20;
 // Fraction of the interval by which exchanges are spread, so that they don't
 // coincide.
-static constexpr double jitterPart = 0.1;
+static constexpr double jitterFraction = 0.1;
 
 Incarnation makeIncarnation(const Clock& clock, Random& random)
 {
@@ -41,7 +41,7 @@
 
 Duration Membership::Impl::jittered(Duration duration)
 {
-    double factor = 1.0 - jitterPart + 2 * jitterPart * m_random.unit();
+    double factor = 1.0 - jitterFraction + 2 * jitterFraction * m_random.unit();
     return std::chrono::duration_cast<Duration>(duration * factor);
 }
 
@@ -58,10 +58,10 @@
 {
     if (m_isStopped)
         return;
-    checkFrozen();
+    checkForPause();
     scheduleTick();
-    judgeMembers();
-    judgeZones();
+    updateMemberStates();
+    updateZoneReachability();
     pruneLeaving();
     exchangeWithMembers();
     probeCandidates();
@@ -70,14 +70,14 @@
     reportChange();
 }
 
-void Membership::Impl::checkFrozen()
+void Membership::Impl::checkForPause()
 {
-    if (!isActive() || now() <= m_nextTick + m_options.freezeMargin)
+    if (!isActive() || now() <= m_nextTick + m_options.pauseThreshold)
         return;
     m_freeze.span = now() - m_nextTick;
     ++m_freeze.count;
     ++m_counters.freezes;
-    m_wokeAt = now();
+    m_resumedAt = now();
     m_nextTick = now();
     dropViews();
     if (m_events.onFrozen)
@@ -104,7 +104,7 @@
         zone.served.reset();
         zone.isExchanging = false;
         zone.nextExchange = now();
-        zone.waitsSince = now();
+        zone.waitingSince = now();
     }
     restartCandidates();
     m_isZonesViewStale = true;
@@ -152,13 +152,13 @@
         m_served.push_back({ std::move(served.team), served.tokens });
 }
 
-void Membership::Impl::learn(const std::vector<Candidate>& candidates)
+void Membership::Impl::addCandidates(const std::vector<Candidate>& candidates)
 {
     for (const Candidate& candidate : candidates) {
         if (candidate.zone.empty() || candidate.zone == m_self.zone)
             addCandidate(candidate.peerAddress);
         else
-            noteContact(candidate.zone, candidate.region, candidate.peerAddress);
+            addZoneContact(candidate.zone, candidate.region, candidate.peerAddress);
     }
 }
 
@@ -167,16 +167,16 @@
     if (address == m_self.peerAddress || m_members.isInUse(address))
         return;
     auto [entry, isNew] = m_candidates.try_emplace(address, CandidateState { now(), m_options.probeInterval, false, now() });
-    entry->second.learntAt = now();
+    entry->second.addedAt = now();
 }
 
 void Membership::Impl::restartCandidates()
 {
     for (auto& [address, candidate] : m_candidates)
-        candidate = CandidateState { now(), m_options.probeInterval, false, candidate.learntAt };
+        candidate = CandidateState { now(), m_options.probeInterval, false, candidate.addedAt };
 }
 
-void Membership::Impl::noteContact(const std::string& zone, const std::string& region, const SocketAddress& address)
+void Membership::Impl::addZoneContact(const std::string& zone, const std::string& region, const SocketAddress& address)
 {
     bool isNew = !m_zones.find(zone);
     Zone* known = m_zones.findOrAdd(zone, region, now());
@@ -195,7 +195,7 @@
 void Membership::Impl::probeCandidates()
 {
     for (auto candidate = m_candidates.begin(); candidate != m_candidates.end();) {
-        bool isForgotten = now() - candidate->second.learntAt > m_options.forgetAfter;
+        bool isForgotten = now() - candidate->second.addedAt > m_options.forgetAfter;
         if (isForgotten || m_members.isInUse(candidate->first)) {
             candidate = m_candidates.erase(candidate);
             continue;
@@ -215,7 +215,7 @@
     auto guarded = [this, alive = std::weak_ptr<bool>(m_alive), epoch = m_epoch, callback = std::move(callback)](auto replies) {
         if (!alive.lock() || m_isStopped)
             return;
-        checkFrozen();
+        checkForPause();
         if (epoch != m_epoch)
             return;
         callback(std::move(replies));
@@ -226,7 +226,7 @@
 
 std::optional<PeerReply> Membership::Impl::handle(const PeerMessage& message)
 {
-    checkFrozen();
+    checkForPause();
     std::optional<PeerReply> reply;
     if (const auto* endpoint = std::get_if<EndpointLeaving>(&message))
         reply = answer(*endpoint);
@@ -259,13 +259,13 @@
 Membership::~Membership() = default;
 
 void Membership::start() { m_impl->start(); }
-void Membership::learn(const std::vector<Candidate>& candidates) { m_impl->learn(candidates); }
+void Membership::learn(const std::vector<Candidate>& candidates) { m_impl->addCandidates(candidates); }
 void Membership::setLocalState(LocalState state) { m_impl->setLocalState(std::move(state)); }
 void Membership::startDraining() { m_impl->startDraining(); }
-void Membership::announceGone() { m_impl->announceGone(); }
+void Membership::announceGone() { m_impl->announceExit(); }
 void Membership::reportLeaving(const EndpointLeaving& endpoint) { m_impl->reportLeaving(endpoint); }
 std::optional<PeerReply> Membership::handle(const PeerMessage& message) { return m_impl->handle(message); }
-void Membership::checkFrozen() { m_impl->checkFrozen(); }
+void Membership::checkFrozen() { m_impl->checkForPause(); }
 const MembershipView& Membership::view() { return m_impl->view(); }
 const EntryIdentity& Membership::self() const { return m_impl->self(); }
 const MembershipCounters& Membership::counters() const { return m_impl->counters(); }
--- a/lib/Membership/MembershipImpl.h
+++ b/lib/Membership/MembershipImpl.h
@@ -17,16 +17,16 @@
 
     // Membership.cpp
     void start();
-    void learn(const std::vector<Candidate>& candidates);
+    void addCandidates(const std::vector<Candidate>& candidates);
     void setLocalState(LocalState state);
-    void checkFrozen();
+    void checkForPause();
     std::optional<PeerReply> handle(const PeerMessage& message);
     const EntryIdentity& self() const { return m_self; }
     const MembershipCounters& counters() const { return m_counters; }
 
     // Announcements.cpp
     void startDraining();
-    void announceGone();
+    void announceExit();
     void reportLeaving(const EndpointLeaving& endpoint);
 
     // ViewBuilder.cpp
@@ -37,7 +37,7 @@
         TimePoint nextTry {};
         Duration probeInterval {};
         bool isExchanging { false };
-        TimePoint learntAt {};
+        TimePoint addedAt {};
     };
     struct LeavingState {
         TimePoint since {};
@@ -56,7 +56,7 @@
     Duration interval() const { return exchangeInterval(m_options, m_members.liveCount()); }
     Duration jittered(Duration duration);
     bool isActive() const { return m_isStarted && !m_isStopped; }
-    bool hasJustWoken() const { return m_wokeAt && now() - *m_wokeAt < m_options.freezeMargin; }
+    bool hasJustResumed() const { return m_resumedAt && now() - *m_resumedAt < m_options.pauseThreshold; }
     void scheduleTick();
     void tick();
     void dropViews();
@@ -66,7 +66,7 @@
     void probeCandidates();
     void restartCandidates();
     void addCandidate(const SocketAddress& address);
-    void noteContact(const std::string& zone, const std::string& region, const SocketAddress& address);
+    void addZoneContact(const std::string& zone, const std::string& region, const SocketAddress& address);
     void markChanged() { m_isViewChanged = true; }
     void reportChange();
     /// Sends a batch. The callback runs only if this object still exists, is not
@@ -74,20 +74,20 @@
     void send(const SocketAddress& address, std::vector<PeerMessage> batch, PeerTransport::Callback callback);
 
     // HeartbeatExchange.cpp
-    void judgeMembers();
+    void updateMemberStates();
     void setState(Member& member, MemberState state);
     void exchangeWithMembers();
     void exchangeWith(Member& member);
-    Duration pauseBefore(const Member& member);
+    Duration delayBeforeNextExchange(const Member& member);
     void finishExchange(const EntryRef& ref, const absl::StatusOr<std::vector<PeerReply>>& replies);
-    void noteFailure(const EntryRef& ref);
+    void recordExchangeFailure(const EntryRef& ref);
     void probe(const SocketAddress& address);
     void finishProbe(const SocketAddress& address, const absl::StatusOr<std::vector<PeerReply>>& replies);
     void receiveReply(const PeerReply& reply);
     Heartbeat introduction();
     Heartbeat heartbeatFor(Member& member);
     void addDigests(Member& member, Heartbeat& heartbeat, SentContent& content);
-    void refusedBy(const PeerError& error);
+    void handleRefusal(const PeerError& error);
 
     // HeartbeatReception.cpp
     PeerReply answer(const Heartbeat& heartbeat);
@@ -97,18 +97,18 @@
     void retireOthersAt(const SocketAddress& address, const std::string& name);
     void apply(Member& member, const Heartbeat& heartbeat);
     void applyLoad(Member& member, const Heartbeat& heartbeat);
-    void applyHearsay(Member& member, const Heartbeat& heartbeat);
+    void applyRelayedState(Member& member, const Heartbeat& heartbeat);
     void reportConfig(const ConfigPeer& peer, std::optional<TimePoint>& reportedAt);
-    void noteServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker);
+    void recordServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker);
 
     // DigestExchange.cpp
     void exchangeWithZones();
-    void judgeZones();
+    void updateZoneReachability();
     bool isDue(const std::string& name, const Zone& zone);
     void exchangeWith(const std::string& name, Zone& zone);
     void finishDigest(const std::string& name, const absl::StatusOr<std::vector<PeerReply>>& replies);
     ZoneDigest digestFor(Zone& zone);
-    ZoneDigest relayed(const Zone& zone, std::uint64_t knownVersion) const;
+    ZoneDigest relayedDigest(const Zone& zone, std::uint64_t knownVersion) const;
     PeerReply answer(const ZoneDigest& digest);
     void receiveDirect(const ZoneDigest& digest);
     bool isNewer(const Zone& zone, const ZoneDigest& digest, TimePoint madeAt) const;
@@ -122,8 +122,8 @@
     void flushAnnouncements();
     void announceTo(Member& member);
     void finishAnnouncement(const EntryRef& ref, const std::vector<EndpointLeaving>& endpoints, bool isDone);
-    std::vector<EndpointLeaving> owedLeaving(const Member& member) const;
-    void noteLeaving(const EndpointLeaving& endpoint, Member* source);
+    std::vector<EndpointLeaving> pendingLeaving(const Member& member) const;
+    void recordLeaving(const EndpointLeaving& endpoint, Member* source);
     PeerReply answer(const EndpointLeaving& endpoint);
     PeerReply answer(const EntryLeaving& leaving);
     void pruneLeaving();
@@ -141,7 +141,7 @@
     /// True once another entry of the zone accepted a heartbeat of this run.
     bool m_isAccepted { false };
     TimePoint m_nextTick {};
-    std::optional<TimePoint> m_wokeAt;
+    std::optional<TimePoint> m_resumedAt;
     FreezeMark m_freeze;
     /// Number of pauses and raised incarnations; replies to messages of an earlier
     /// epoch are dropped.
--- a/lib/Membership/ViewBuilder.cpp
+++ b/lib/Membership/ViewBuilder.cpp
@@ -34,15 +34,15 @@
 
 const MembershipView& Membership::Impl::view()
 {
-    checkFrozen();
+    checkForPause();
     m_view.draining = m_isDraining;
     if (m_isMembersViewStale) {
         m_isMembersViewStale = false;
         m_view.members.clear();
         for (const auto& [name, member] : m_members.all()) {
             m_view.members.push_back(viewOf(member));
-            bool isReached = member.failures < m_options.unusableAfterFailures;
-            m_view.members.back().hearsUs = isReached && member.hearsUs(m_options, now(), interval());
+            bool isAnswering = member.failures < m_options.unusableAfterFailures;
+            m_view.members.back().hearsUs = isAnswering && member.hearsUs(m_options, now(), interval());
         }
         m_view.leaving.clear();
         for (const auto& [endpoint, state] : m_leaving)
--- a/lib/Membership/ZoneTable.cpp
+++ b/lib/Membership/ZoneTable.cpp
@@ -72,7 +72,7 @@
     if (!isNew)
         return &entry->second;
     entry->second.region = region;
-    entry->second.waitsSince = now;
+    entry->second.waitingSince = now;
     std::uint64_t sum = stableHash(m_ownZone);
     for (const auto& [zone, state] : m_zones)
         sum += stableHash(zone);
--- a/lib/Membership/ZoneTable.h
+++ b/lib/Membership/ZoneTable.h
@@ -37,23 +37,23 @@
     bool wasReachable { false };
 
     /// Hash of this entry's zone's entries as known to the other zone.
-    std::uint32_t theirRoster { 0 };
-    std::uint32_t theirZonesDigest { 0 };
+    std::uint32_t peerKnownRoster { 0 };
+    std::uint32_t peerZonesDigest { 0 };
     std::optional<TimePoint> contactsSentAt;
-    CountTable toldServed;
+    CountTable sentServed;
     /// Hash of this entry's zone's entries in the last digest sent.
-    std::uint32_t toldRoster { 0 };
+    std::uint32_t sentRoster { 0 };
 
     bool isExchanging { false };
     std::uint32_t failures { 0 };
     TimePoint nextExchange {};
     TimePoint lastExchange {};
     /// Time since which a first digest is awaited.
-    TimePoint waitsSince {};
+    TimePoint waitingSince {};
     std::optional<TimePoint> configReportedAt;
 
     /// Returns the time since the digest was created, or since one is awaited.
-    Duration age(TimePoint now) const { return now - (digest ? madeAt : waitsSince); }
+    Duration age(TimePoint now) const { return now - (digest ? madeAt : waitingSince); }
     /// Adds an address to the contacts; evicts the oldest if there are too many.
     void addContact(const SocketAddress& address);
     /// Returns the address for the next exchange: the entries by rank, then the
--- a/unittests/Membership/FakeNetwork.cpp
+++ b/unittests/Membership/FakeNetwork.cpp
@@ -14,17 +14,17 @@
 
 void NodeScheduler::run(Callback work)
 {
-    if (m_isFrozen)
-        m_waiting.push_front(std::move(work));
+    if (m_isPaused)
+        m_deferred.push_front(std::move(work));
     else
         work();
 }
 
-void NodeScheduler::thaw()
+void NodeScheduler::resume()
 {
-    m_isFrozen = false;
+    m_isPaused = false;
     std::deque<Callback> waiting;
-    waiting.swap(m_waiting);
+    waiting.swap(m_deferred);
     for (const Callback& work : waiting)
         work();
 }
@@ -42,7 +42,7 @@
 MembershipEvents FakeNode::events()
 {
     MembershipEvents events;
-    events.onFrozen = [this](Duration span) { freezes.push_back(span); };
+    events.onFrozen = [this](Duration span) { pauses.push_back(span); };
     events.onConfigDiffers = [this](const ConfigPeer& peer) { configPeers.push_back(peer); };
     events.onEndpointLeaving = [this](const EndpointLeaving& endpoint) { leaving.push_back(endpoint); };
     events.onServedElsewhere = [this](const ServedElsewhere& served) { servedElsewhere[served.team] += served.tokens; };
@@ -52,7 +52,7 @@
 
 void FakeNode::send(const SocketAddress& to, std::vector<PeerMessage> batch, Callback callback)
 {
-    m_network.carry(*this, to, batch, std::move(callback));
+    m_network.transmit(*this, to, batch, std::move(callback));
 }
 
 std::vector<PeerReply> FakeNode::receive(const std::vector<PeerMessage>& batch)
@@ -71,7 +71,7 @@
     return found == members.end() ? nullptr : &*found;
 }
 
-bool FakeNode::uses(const std::string& name)
+bool FakeNode::regardsAsUsable(const std::string& name)
 {
     const MemberView* view = member(name);
     return view && view->isUsable();
@@ -107,7 +107,7 @@
     m_order.erase(std::find(m_order.begin(), m_order.end(), &node));
     // The scheduler still holds timers and callbacks that refer to the node, so only
     // its membership is destroyed.
-    node.scheduler.freeze();
+    node.scheduler.pause();
     auto dead = m_nodes.extract(node.address);
     dead.mapped()->membership.reset();
     m_dead.push_back(std::move(dead.mapped()));
@@ -135,11 +135,11 @@
     return m_cuts.count({ from, to }) > 0 || (loss > 0 && m_random.unit() < loss);
 }
 
-void FakeNetwork::carry(FakeNode& from, const SocketAddress& to, const std::vector<PeerMessage>& batch, PeerTransport::Callback callback)
+void FakeNetwork::transmit(FakeNode& from, const SocketAddress& to, const std::vector<PeerMessage>& batch, PeerTransport::Callback callback)
 {
     std::string bytes = encodeBatch(batch);
-    ++from.carried.batchesSent;
-    from.carried.bytesSent += bytes.size();
+    ++from.traffic.batchesSent;
+    from.traffic.bytesSent += bytes.size();
     auto isDone = std::make_shared<bool>(false);
     PeerTransport::Callback finish = [isDone, callback = std::move(callback)](auto replies) {
         if (std::exchange(*isDone, true))
@@ -165,15 +165,15 @@
     node.scheduler.run([this, &from, &node, bytes, messages, finish] {
         if (!node.membership)
             return;
-        node.carried.bytesReceived += bytes.size();
+        node.traffic.bytesReceived += bytes.size();
         std::string answer = encodeReplies(node.receive(*decodeBatch(bytes)));
-        ++node.carried.batchesReceived;
-        node.carried.bytesSent += answer.size();
+        ++node.traffic.batchesReceived;
+        node.traffic.bytesSent += answer.size();
         if (isLost(node.address, from.address))
             return;
         m_scheduler.callAfter(latency, [&from, answer, messages, finish] {
             from.scheduler.run([&from, answer, messages, finish] {
-                from.carried.bytesReceived += answer.size();
+                from.traffic.bytesReceived += answer.size();
                 finish(decodeReplies(answer, messages));
             });
         });
--- a/unittests/Membership/FakeNetwork.h
+++ b/unittests/Membership/FakeNetwork.h
@@ -24,15 +24,15 @@
     void cancel(TimerId timer) override { m_shared.cancel(timer); }
     /// Runs \p work now, or on resumption if the node is paused.
     void run(Callback work);
-    void freeze() { m_isFrozen = true; }
+    void pause() { m_isPaused = true; }
     /// Runs the deferred callbacks, the latest first, so that messages are handled
     /// before overdue timers.
-    void thaw();
+    void resume();
 
 private:
     ManualScheduler& m_shared;
-    bool m_isFrozen { false };
-    std::deque<Callback> m_waiting;
+    bool m_isPaused { false };
+    std::deque<Callback> m_deferred;
 };
 
 /// One entry on the fake network.
@@ -42,23 +42,23 @@
     ~FakeNode() override;
 
     void send(const SocketAddress& address, std::vector<PeerMessage> batch, Callback callback) override;
-    TransportCounters counters() const override { return carried; }
+    TransportCounters counters() const override { return traffic; }
     /// Returns the replies to a batch that has arrived.
     std::vector<PeerReply> receive(const std::vector<PeerMessage>& batch);
 
     /// Returns this node's view of the member, or null.
     const MemberView* member(const std::string& name);
     /// Returns whether this node regards the member as usable for new work.
-    bool uses(const std::string& name);
+    bool regardsAsUsable(const std::string& name);
     /// Returns this node's view of the zone, or null.
     const ZoneView* zone(const std::string& name);
 
     const SocketAddress address;
     NodeScheduler scheduler;
     std::unique_ptr<Membership> membership;
-    TransportCounters carried;
+    TransportCounters traffic;
 
-    std::vector<Duration> freezes;
+    std::vector<Duration> pauses;
     std::vector<EndpointLeaving> leaving;
     std::vector<ConfigPeer> configPeers;
     std::map<std::string, std::uint64_t> servedElsewhere;
@@ -95,7 +95,7 @@
     /// if the condition doesn't hold within \p limit.
     std::optional<Duration> advanceUntil(Duration limit, const std::function<bool()>& condition);
 
-    void carry(FakeNode& from, const SocketAddress& to, const std::vector<PeerMessage>& batch, PeerTransport::Callback callback);
+    void transmit(FakeNode& from, const SocketAddress& to, const std::vector<PeerMessage>& batch, PeerTransport::Callback callback);
 
     ManualScheduler& scheduler() { return m_scheduler; }
     const std::vector<FakeNode*>& nodes() const { return m_order; }
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -25,11 +25,11 @@
     return nodes;
 }
 
-static bool allUseAll(const std::vector<FakeNode*>& nodes)
+static bool allMembersUsable(const std::vector<FakeNode*>& nodes)
 {
     for (FakeNode* node : nodes) {
         for (FakeNode* other : nodes) {
-            if (node != other && !node->uses(other->membership->self().ref.name))
+            if (node != other && !node->regardsAsUsable(other->membership->self().ref.name))
                 return false;
         }
     }
@@ -47,7 +47,7 @@
 {
     FakeNetwork network(1);
     std::vector<FakeNode*> nodes = startZone(network, 9);
-    CHECK(network.advanceUntil(4s, [&] { return allUseAll(nodes); }).has_value());
+    CHECK(network.advanceUntil(4s, [&] { return allMembersUsable(nodes); }).has_value());
 }
 
 TEST_CASE("an entry alone in its zone has no members and reports no pause")
@@ -56,14 +56,14 @@
     std::vector<FakeNode*> nodes = startZone(network, 1);
     network.advance(60s);
     CHECK(nodes[0]->membership->view().members.empty());
-    CHECK(nodes[0]->freezes.empty());
+    CHECK(nodes[0]->pauses.empty());
 }
 
 TEST_CASE("no member is considered dead within an hour at 2% message loss")
 {
     FakeNetwork network(3);
     std::vector<FakeNode*> nodes = startZone(network, 5);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.loss = 0.02;
     network.advance(1h);
     for (FakeNode* node : nodes)
@@ -74,7 +74,7 @@
 {
     FakeNetwork network(4);
     std::vector<FakeNode*> nodes = startZone(network, 9);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.advance(10s);
     // The entry with the lowest name starts the exchanges, so its termination is
     // detected latest.
@@ -87,18 +87,18 @@
     };
     // The bound covers 4/3 of the interval of 2.4 s, a retry after 0.5 s, 10% jitter
     // on both and two timer ticks.
-    CHECK(untilAll([](FakeNode* node) { return !node->uses("e1"); }) <= 4500ms);
+    CHECK(untilAll([](FakeNode* node) { return !node->regardsAsUsable("e1"); }) <= 4500ms);
     // The bounds cover two and four intervals and a timer tick.
     CHECK(untilAll([](FakeNode* node) { return stateAt(*node, "e1") >= MemberState::Suspect; }) <= 5100ms);
     CHECK(untilAll([](FakeNode* node) { return stateAt(*node, "e1") == MemberState::Dead; }) <= 9900ms);
-    CHECK(allUseAll(nodes));
+    CHECK(allMembersUsable(nodes));
 }
 
 TEST_CASE("an entry that announces its exit is dead to all members immediately")
 {
     FakeNetwork network(5);
     std::vector<FakeNode*> nodes = startZone(network, 4);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     nodes[3]->membership->announceGone();
     network.advance(20ms);
     for (int i = 0; i < 3; ++i)
@@ -109,93 +109,93 @@
 {
     FakeNetwork network(6);
     std::vector<FakeNode*> nodes = startZone(network, 4);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
-    FakeNode& frozen = *nodes[2];
-    const Incarnation incarnation = frozen.membership->self().ref.incarnation;
-    frozen.scheduler.freeze();
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
+    FakeNode& paused = *nodes[2];
+    const Incarnation incarnation = paused.membership->self().ref.incarnation;
+    paused.scheduler.pause();
     network.advance(30s);
     CHECK(stateAt(*nodes[0], "e3") == MemberState::Dead);
-    frozen.scheduler.thaw();
-    REQUIRE(frozen.freezes.size() == 1);
-    CHECK(frozen.freezes[0] > 29s);
-    CHECK(frozen.freezes[0] <= 30s);
+    paused.scheduler.resume();
+    REQUIRE(paused.pauses.size() == 1);
+    CHECK(paused.pauses[0] > 29s);
+    CHECK(paused.pauses[0] <= 30s);
     // Messages queued during the pause don't show that their senders are live now.
     for (const char* name : { "e1", "e2", "e4" })
-        CHECK_FALSE(frozen.uses(name));
-    CHECK(network.advanceUntil(15s, [&] { return allUseAll(nodes); }));
-    CHECK(frozen.membership->self().ref.incarnation == incarnation);
+        CHECK_FALSE(paused.regardsAsUsable(name));
+    CHECK(network.advanceUntil(15s, [&] { return allMembersUsable(nodes); }));
+    CHECK(paused.membership->self().ref.incarnation == incarnation);
     CHECK(nodes[0]->member("e3")->freezes == 1);
-    CHECK(frozen.freezes.size() == 1);
+    CHECK(paused.pauses.size() == 1);
 }
 
 TEST_CASE("checkFrozen reports a pause before any timer runs")
 {
     FakeNetwork network(7);
     std::vector<FakeNode*> nodes = startZone(network, 2);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
-    nodes[0]->scheduler.freeze();
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
+    nodes[0]->scheduler.pause();
     network.advance(5s);
     nodes[0]->membership->checkFrozen();
-    CHECK(nodes[0]->freezes.size() == 1);
-    CHECK_FALSE(nodes[0]->uses("e2"));
+    CHECK(nodes[0]->pauses.size() == 1);
+    CHECK_FALSE(nodes[0]->regardsAsUsable("e2"));
 }
 
-TEST_CASE("a delay below the freeze margin isn't reported as a pause")
+TEST_CASE("a delay below the pause threshold isn't reported as a pause")
 {
     FakeNetwork network(8);
     std::vector<FakeNode*> nodes = startZone(network, 2);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
-    nodes[0]->scheduler.freeze();
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
+    nodes[0]->scheduler.pause();
     network.advance(900ms);
-    nodes[0]->scheduler.thaw();
-    CHECK(nodes[0]->freezes.empty());
+    nodes[0]->scheduler.resume();
+    CHECK(nodes[0]->pauses.empty());
 }
 
 TEST_CASE("neither side of a one-way network cut regards the other as usable")
 {
     FakeNetwork network(9);
     std::vector<FakeNode*> nodes = startZone(network, 4);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.cutOneWay(*nodes[0], *nodes[1]);
-    CHECK(network.advanceUntil(6s, [&] { return !nodes[0]->uses("e2") && !nodes[1]->uses("e1"); }));
+    CHECK(network.advanceUntil(6s, [&] { return !nodes[0]->regardsAsUsable("e2") && !nodes[1]->regardsAsUsable("e1"); }));
     network.advance(30s);
-    CHECK_FALSE(nodes[0]->uses("e2"));
-    CHECK_FALSE(nodes[1]->uses("e1"));
-    CHECK(nodes[0]->uses("e3"));
-    CHECK(nodes[2]->uses("e1"));
-    CHECK(nodes[2]->uses("e2"));
+    CHECK_FALSE(nodes[0]->regardsAsUsable("e2"));
+    CHECK_FALSE(nodes[1]->regardsAsUsable("e1"));
+    CHECK(nodes[0]->regardsAsUsable("e3"));
+    CHECK(nodes[2]->regardsAsUsable("e1"));
+    CHECK(nodes[2]->regardsAsUsable("e2"));
     network.heal();
-    CHECK(network.advanceUntil(15s, [&] { return allUseAll(nodes); }));
+    CHECK(network.advanceUntil(15s, [&] { return allMembersUsable(nodes); }));
 }
 
 TEST_CASE("an entry at a reused address doesn't take over the identity of the earlier one")
 {
     FakeNetwork network(10);
     std::vector<FakeNode*> nodes = startZone(network, 3);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.kill(*nodes[2]);
     FakeNode& successor = network.add("other", zoneName, addressOf(3));
     successor.membership->learn({ { addressOf(1), "", "" } });
     nodes[2] = &successor;
-    REQUIRE(network.advanceUntil(5s, [&] { return nodes[0]->uses("other") && nodes[1]->uses("other"); }));
+    REQUIRE(network.advanceUntil(5s, [&] { return nodes[0]->regardsAsUsable("other") && nodes[1]->regardsAsUsable("other"); }));
     CHECK(stateAt(*nodes[0], "e3") == MemberState::Dead);
-    CHECK_FALSE(nodes[1]->uses("e3"));
+    CHECK_FALSE(nodes[1]->regardsAsUsable("e3"));
     network.advance(60s);
     CHECK(stateAt(*nodes[0], "e3") == MemberState::Dead);
-    CHECK(allUseAll(nodes));
+    CHECK(allMembersUsable(nodes));
 }
 
 TEST_CASE("a later run of a name replaces the earlier one")
 {
     FakeNetwork network(11);
     std::vector<FakeNode*> nodes = startZone(network, 3);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.advance(5s);
     FakeNode& later = network.add("e3", zoneName, addressOf(30));
     later.membership->learn({ { addressOf(1), "", "" } });
     REQUIRE(network.advanceUntil(10s, [&] { return nodes[2]->isSuperseded; }));
     nodes[2] = &later;
-    CHECK(network.advanceUntil(5s, [&] { return allUseAll(nodes); }));
+    CHECK(network.advanceUntil(5s, [&] { return allMembersUsable(nodes); }));
     CHECK(nodes[0]->member("e3")->identity.ref == later.membership->self().ref);
 }
 
@@ -203,13 +203,13 @@
 {
     FakeNetwork network(12);
     std::vector<FakeNode*> nodes = startZone(network, 3);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
-    nodes[2]->scheduler.freeze();
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
+    nodes[2]->scheduler.pause();
     network.advance(20s);
     FakeNode& later = network.add("e3", zoneName, addressOf(30));
     later.membership->learn({ { addressOf(1), "", "" } });
     network.advance(10s);
-    nodes[2]->scheduler.thaw();
+    nodes[2]->scheduler.resume();
     CHECK(network.advanceUntil(2s, [&] { return nodes[2]->isSuperseded; }));
     CHECK(nodes[0]->member("e3")->identity.ref == later.membership->self().ref);
     CHECK_FALSE(later.isSuperseded);
@@ -223,12 +223,12 @@
     FakeNode& early = network.add("e3", zoneName, addressOf(3), 1000000);
     early.membership->learn({ { addressOf(1), "", "" } });
     nodes.push_back(&early);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.kill(early);
     FakeNode& late = network.add("e3", zoneName, addressOf(3), 500);
     late.membership->learn({ { addressOf(1), "", "" } });
     nodes[2] = &late;
-    CHECK(network.advanceUntil(15s, [&] { return allUseAll(nodes); }));
+    CHECK(network.advanceUntil(15s, [&] { return allMembersUsable(nodes); }));
     CHECK(late.membership->self().ref.incarnation.start == 1000001);
     CHECK_FALSE(late.isSuperseded);
 }
@@ -237,7 +237,7 @@
 {
     FakeNetwork network(14);
     std::vector<FakeNode*> nodes = startZone(network, 6);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     std::vector<FakeNode*> left(nodes.begin(), nodes.begin() + 3);
     std::vector<FakeNode*> right(nodes.begin() + 3, nodes.end());
     for (FakeNode* a : left) {
@@ -245,31 +245,31 @@
             network.cut(*a, *b);
     }
     network.advance(1h);
-    CHECK(allUseAll(left));
-    CHECK(allUseAll(right));
+    CHECK(allMembersUsable(left));
+    CHECK(allMembersUsable(right));
     CHECK(stateAt(*left[0], "e6") == MemberState::Dead);
     FakeNode& joiner = network.add("e7", zoneName, addressOf(7));
     joiner.membership->learn({ { addressOf(6), "", "" } });
     network.advance(10s);
     network.heal();
     nodes.push_back(&joiner);
-    CHECK(network.advanceUntil(20s, [&] { return allUseAll(nodes); }));
+    CHECK(network.advanceUntil(20s, [&] { return allMembersUsable(nodes); }));
 }
 
 TEST_CASE("a drain reaches the members of the zone although messages are lost")
 {
     FakeNetwork network(15);
     std::vector<FakeNode*> nodes = startZone(network, 5);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.loss = 0.5;
     nodes[1]->membership->startDraining();
-    auto isLeftOut = [&] {
-        return std::all_of(nodes.begin(), nodes.end(), [&](FakeNode* node) { return node == nodes[1] || !node->uses("e2"); });
+    auto isDrainingEntryUnused = [&] {
+        return std::all_of(nodes.begin(), nodes.end(), [&](FakeNode* node) { return node == nodes[1] || !node->regardsAsUsable("e2"); });
     };
-    CHECK(network.advanceUntil(10s, isLeftOut));
+    CHECK(network.advanceUntil(10s, isDrainingEntryUnused));
     network.loss = 0;
     network.advance(10s);
-    CHECK(isLeftOut());
+    CHECK(isDrainingEntryUnused());
     CHECK(nodes[0]->member("e2")->draining);
     CHECK(stateAt(*nodes[0], "e2") == MemberState::Live);
     CHECK(nodes[0]->member("e2")->hearsUs);
@@ -279,7 +279,7 @@
 {
     FakeNetwork network(16);
     std::vector<FakeNode*> nodes = startZone(network, 9);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.cut(*nodes[0], *nodes[5]);
     network.loss = 0.1;
     nodes[0]->membership->reportLeaving({ "replica-7", "run-1" });
@@ -312,7 +312,7 @@
     state.configDigest = 1;
     for (FakeNode* node : nodes)
         node->membership->setLocalState(state);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     nodes[0]->configPeers.clear();
     network.advance(10s);
     CHECK(nodes[0]->configPeers.empty());
@@ -329,7 +329,7 @@
 {
     FakeNetwork network(18);
     std::vector<FakeNode*> nodes = startZone(network, 3);
-    REQUIRE(network.advanceUntil(10s, [&] { return allUseAll(nodes); }));
+    REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     LocalState state;
     state.demand = { { "fitting", 12 } };
     state.load = { { "replica-1", 3 }, { "replica-2", 4 } };
--- a/unittests/Membership/ZoneExchangeTest.cpp
+++ b/unittests/Membership/ZoneExchangeTest.cpp
@@ -202,9 +202,9 @@
 {
     ThreeZones zones(30);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
-    zones.nodes[4]->scheduler.freeze();
+    zones.nodes[4]->scheduler.pause();
     zones.network.advance(60s);
-    zones.nodes[4]->scheduler.thaw();
+    zones.nodes[4]->scheduler.resume();
     CHECK_FALSE(zones.nodes[4]->zone("perth-a")->isReachable);
     CHECK_FALSE(zones.nodes[4]->zone("bunbury-a")->isReachable);
     CHECK(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
