--- a/lib/Membership/ZoneTable.h
+++ b/lib/Membership/ZoneTable.h
@@ -48,7 +48,7 @@
     std::uint32_t failures { 0 };
     TimePoint nextExchange {};
     TimePoint lastExchange {};
-    /// Time since which a first digest is awaited.
+    /// Time since which a digest is awaited while none is present.
     TimePoint waitingSince {};
     std::optional<TimePoint> configReportedAt;
 
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -81,16 +81,16 @@
     network.kill(*nodes[0]);
     nodes.erase(nodes.begin());
     const TimePoint killedAt = network.scheduler().clock().now();
-    auto untilAll = [&](auto condition) {
+    auto timeUntilAll = [&](auto condition) {
         REQUIRE(network.advanceUntil(20s, [&] { return std::all_of(nodes.begin(), nodes.end(), condition); }));
         return network.scheduler().clock().now() - killedAt;
     };
     // The bound covers 4/3 of the interval of 2.4 s, a retry after 0.5 s, 10% jitter
     // on both and two timer ticks.
-    CHECK(untilAll([](FakeNode* node) { return !node->regardsAsUsable("e1"); }) <= 4500ms);
+    CHECK(timeUntilAll([](FakeNode* node) { return !node->regardsAsUsable("e1"); }) <= 4500ms);
     // The bounds cover two and four intervals and a timer tick.
-    CHECK(untilAll([](FakeNode* node) { return stateAt(*node, "e1") >= MemberState::Suspect; }) <= 5100ms);
-    CHECK(untilAll([](FakeNode* node) { return stateAt(*node, "e1") == MemberState::Dead; }) <= 9900ms);
+    CHECK(timeUntilAll([](FakeNode* node) { return stateAt(*node, "e1") >= MemberState::Suspect; }) <= 5100ms);
+    CHECK(timeUntilAll([](FakeNode* node) { return stateAt(*node, "e1") == MemberState::Dead; }) <= 9900ms);
     CHECK(allMembersUsable(nodes));
 }
 
@@ -128,7 +128,7 @@
     CHECK(paused.pauses.size() == 1);
 }
 
-TEST_CASE("checkFrozen reports a pause before any timer runs")
+TEST_CASE("an explicit check reports a pause before any timer runs")
 {
     FakeNetwork network(7);
     std::vector<FakeNode*> nodes = startZone(network, 2);
