--- a/lib/Membership/HeartbeatReception.cpp
+++ b/lib/Membership/HeartbeatReception.cpp
@@ -4,8 +4,8 @@
 
 PeerReply Membership::Impl::answer(const Heartbeat& heartbeat)
 {
-    // What waited in a socket through a freeze says nothing of now.
-    if (!isActive() || hasJustWoken())
+    // Messages that were queued in a socket during a pause are out of date.
+    if (!isActive() || hasJustResumed())
         return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take heartbeats now", std::nullopt };
     Reception reception = receive(heartbeat);
     if (reception.refusal)
@@ -13,10 +13,11 @@
     if (!reception.member)
         return introduction();
     Member& member = *reception.member;
-    // A sender that doesn't hear this entry, or that it couldn't reach when it last
-    // tried, is not one that was exchanged with: only an own exchange shows the way.
+    // If the sender doesn't receive this entry's messages, or if this entry's latest
+    // exchange with the sender failed, the next exchange is not postponed: only an
+    // exchange that this entry starts tests the path to the sender.
     if (member.failures == 0 && member.hearsUs(m_options, now(), interval()))
-        member.nextExchange = now() + pauseBefore(member);
+        member.nextExchange = now() + delayBeforeNextExchange(member);
     return heartbeatFor(member);
 }
 
@@ -51,7 +52,7 @@
     if (sender.zone.empty() && !isKnownRun)
         return { nullptr, PeerError { PeerErrorCode::UnknownRun, "the run is not known here", std::nullopt } };
     if (!sender.zone.empty() && sender.zone != m_self.zone) {
-        noteContact(sender.zone, sender.region, sender.peerAddress);
+        addZoneContact(sender.zone, sender.region, sender.peerAddress);
         return {};
     }
     if (!isKnownRun)
@@ -67,7 +68,8 @@
     member = Member();
     member.identity = identity;
     member.heardAt = now();
-    // Its first exchange is due at once: only then is it known that it hears us.
+    // The first exchange is due immediately, since only its result shows whether the
+    // member receives this entry's messages.
     member.nextExchange = now();
     member.owesLeaving = m_isDraining;
     m_candidates.erase(identity.peerAddress);
@@ -101,7 +103,7 @@
         member.hearsUsAt = acknowledgedAt;
     std::uint32_t freezes = heartbeat.freeze ? heartbeat.freeze->count : 0;
     if (freezes != member.freezes) {
-        // It dropped all that it was told.
+        // The member was paused and discarded all state that it had received.
         member.freezes = freezes;
         member.channel.reset();
         member.load.clear();
@@ -112,7 +114,7 @@
     if (heartbeat.hashes)
         member.hashes = *heartbeat.hashes;
     applyLoad(member, heartbeat);
-    applyHearsay(member, heartbeat);
+    applyRelayedState(member, heartbeat);
     bool isUsable = member.isUsable(m_options, now(), interval());
     if (isUsable != member.wasUsable)
         markChanged();
@@ -132,19 +134,19 @@
             member.load[load.endpoint] = load.inFlight;
     }
     for (const TeamTokens& total : heartbeat.served)
-        noteServed(m_self.zone, m_self.region, total, member.served);
+        recordServed(m_self.zone, m_self.region, total, member.served);
     if (!heartbeat.hasMoreServed)
         member.served.noteComplete();
 }
 
-void Membership::Impl::applyHearsay(Member& member, const Heartbeat& heartbeat)
+void Membership::Impl::applyRelayedState(Member& member, const Heartbeat& heartbeat)
 {
     for (const EndpointLeaving& endpoint : heartbeat.leaving)
-        noteLeaving(endpoint, &member);
+        recordLeaving(endpoint, &member);
     for (const SocketAddress& address : heartbeat.members)
         addCandidate(address);
     for (const ZoneContact& contact : heartbeat.contacts)
-        noteContact(contact.zone, contact.region, contact.peerAddress);
+        addZoneContact(contact.zone, contact.region, contact.peerAddress);
     for (const ZoneDigest& digest : heartbeat.digests) {
         bool canAdd = !digest.region.empty();
         Zone* zone = canAdd ? m_zones.findOrAdd(digest.zone, digest.region, now()) : m_zones.find(digest.zone);
@@ -162,7 +164,7 @@
         m_events.onConfigDiffers(peer);
 }
 
-void Membership::Impl::noteServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker)
+void Membership::Impl::recordServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker)
 {
     std::uint64_t tokens = tracker.increment(total);
     if (tokens == 0)
