--- a/include/catkinwing/Membership/CrashHistory.h
+++ b/include/catkinwing/Membership/CrashHistory.h
@@ -9,49 +9,52 @@
 
 /// The crash of an endpoint while it ran a request.
 struct EndpointCrash {
-    /// Hash of the start of the endpoint; each start crashes once.
+    /// Hash of the incarnation of the endpoint; each incarnation crashes at most once.
     std::uint32_t endpoint { 0 };
     TimePoint at {};
-    /// How long the request had been there.
+    /// Time between the dispatch of the request to the endpoint and the crash.
     Duration ranFor { 0 };
 };
 
-/// What is known of the endpoints that crashed under one request.
+/// The known endpoint crashes during attempts of one request.
 struct CrashHistory {
-    /// In the order of their times; bounded, the latest stay.
+    /// Sorted by time; bounded, the oldest are dropped first.
     std::vector<EndpointCrash> crashes;
-    /// When an endpoint last answered the request; crashes before say nothing.
+    /// Time of the last answer of an endpoint to the request. Earlier crashes don't count.
     TimePoint survivedAt {};
-    /// No endpoint gets the request until then.
+    /// The request is refused until this time.
     TimePoint refusedUntil {};
-    /// How often it has been refused; each time for longer.
+    /// Number of refusal periods so far; each one is longer than the one before.
     unsigned refusals { 0 };
 };
 
-/// Crashes after which a request is refused.
+/// Number of separate crashes after which a request is refused.
 constexpr std::size_t crashesBeforeRefusal = 3;
 
-/// Returns the number of crashes that came one after another. Endpoints that go
-/// at the same moment have a cause of their own, such as a loss of power; one that
-/// ran the request from after the crash before isn't among them.
+/// Returns the number of separate crashes. Crashes at nearly the same time count as
+/// one, since they probably have a common cause, such as a power loss. A crash of an
+/// endpoint that received the request only after the previous crash is separate.
 std::size_t separateCrashes(const CrashHistory& history);
 
-/// Takes a crash, and refuses the request after the third one; after a refusal
-/// has ended, after the first. Returns whether the history has changed.
+/// Records a crash. Starts a refusal period after \c crashesBeforeRefusal separate
+/// crashes, or after a single crash once an earlier refusal period has ended. Returns
+/// whether the history has changed.
 bool noteCrash(CrashHistory& history, const EndpointCrash& crash);
 
-/// An endpoint answered the request: what crashed before had another cause.
-/// Returns whether the history has changed.
+/// Records that an endpoint answered the request, and removes earlier crashes, since
+/// the request did not cause them. Returns whether the history has changed.
 bool noteSurvived(CrashHistory& history, TimePoint at);
 
-/// Takes what another entry knows; the same in any order. Returns whether the
-/// history has changed.
+/// Merges the history of another entry; the result doesn't depend on the order of
+/// merges. Returns whether the history has changed.
 bool mergeHistory(CrashHistory& history, const CrashHistory& other);
 
-/// Takes out crashes at \p endpoint, which another request caused.
+/// Removes crashes of \p endpoint, which another request caused. Returns whether there
+/// were any.
 bool removeCrash(CrashHistory& history, std::uint32_t endpoint);
 
-/// Forgets crashes that are too old to belong together; returns whether nothing is left to know.
+/// Removes crashes that are too old to be related. Returns whether the history can be
+/// dropped altogether.
 bool isForgotten(CrashHistory& history, TimePoint now);
 
 } // namespace catkinwing
--- a/include/catkinwing/Membership/EntryGroups.h
+++ b/include/catkinwing/Membership/EntryGroups.h
@@ -6,32 +6,32 @@
 
 namespace catkinwing {
 
-/// An entry of a region, as the division into groups needs it.
+/// An entry of a region, with the data that the division into groups needs.
 struct GroupedEntry {
     std::string key;
     std::string availabilityZone;
 };
 
-/// Entries of one availability zone that tell each other of their loads through
-/// their collectors.
+/// Entries of one availability zone that exchange their load reports through their
+/// collectors.
 struct EntryGroup {
     std::string name;
     std::vector<std::string> members;
-    /// Members that add up what the others report, so that the death of one
-    /// costs nothing.
+    /// Members that sum up the load reports of the group. Several do so, so that the
+    /// failure of one loses no data.
     std::vector<std::string> collectors;
 };
 
-/// An entry's place among those that take turns.
+/// The position of an entry among those that take turns.
 struct EntryOrder {
-    /// From 0 on.
+    /// Zero-based.
     std::size_t rank { 0 };
     std::size_t entries { 1 };
 };
 
-/// Divides the entries of a region into groups of bounded size, each within one
-/// availability zone, so that one that is cut off goes on. All that know the
-/// same entries divide them alike.
+/// Divides the entries of a region into groups of limited size. Each group lies within
+/// one availability zone, so that a zone keeps working while it is partitioned from the
+/// others. The groups depend only on the set of entries.
 std::vector<EntryGroup> divideIntoGroups(const std::vector<GroupedEntry>& entries);
 
 } // namespace catkinwing
--- a/include/catkinwing/Membership/FailureDetection.h
+++ b/include/catkinwing/Membership/FailureDetection.h
@@ -5,23 +5,24 @@
 
 namespace catkinwing {
 
-/// Returns the time between two exchanges with the same member of a zone of
-/// \p members other entries. It grows with them, so that bytes don't.
+/// Returns the time between two exchanges with the same member of a zone that has
+/// \p members other entries. The interval grows with their number, which limits the
+/// bytes sent per second.
 Duration exchangeInterval(const MembershipOptions& options, std::size_t members);
 
-/// Judges a member that was silent for \p silence, \p interval being the time
-/// between exchanges.
+/// Returns the state of a member from which no message was received for \p silence;
+/// \p interval is the time between exchanges.
 MemberState judgeSilence(const MembershipOptions& options, Duration silence, Duration interval);
 
 /// Returns the time between exchanges with a zone of \p zoneRegion for an entry of
 /// \p ownRegion.
 Duration digestInterval(const MembershipOptions& options, const std::string& zoneRegion, const std::string& ownRegion);
 
-/// Returns whether a zone whose digest has \p age counts as reachable. A digest
-/// may spend one \p exchange on its way inside the zone.
+/// Returns whether a zone whose digest has \p age counts as reachable. Forwarding a
+/// digest inside the zone may take one further \p exchange interval.
 bool isDigestFresh(const MembershipOptions& options, Duration age, Duration interval, Duration exchange);
 
-/// Returns twice \p interval, up to the longest between probes.
+/// Returns twice \p interval, limited to the maximum probe interval.
 Duration nextProbeInterval(const MembershipOptions& options, Duration interval);
 
 } // namespace catkinwing
--- a/include/catkinwing/Membership/PeerTransport.h
+++ b/include/catkinwing/Membership/PeerTransport.h
@@ -6,7 +6,7 @@
 
 namespace catkinwing {
 
-/// Bytes of batches and replies that a transport has carried.
+/// Counts of batches, and of the bytes of batches and replies, of a transport.
 struct TransportCounters {
     std::uint64_t batchesSent { 0 };
     std::uint64_t batchesReceived { 0 };
@@ -14,17 +14,17 @@
     std::uint64_t bytesReceived { 0 };
 };
 
-/// Carries batches to other entries.
+/// Sends batches of messages to other entries.
 class PeerTransport {
 public:
-    /// Gets one reply for each message, or why there are none.
+    /// Called with one reply for each message, or with an error.
     using Callback = std::function<void(absl::StatusOr<std::vector<PeerReply>>)>;
 
     virtual ~PeerTransport() = default;
     /// Sends \p batch to \p address. Calls \p callback exactly once, never before
-    /// this returns; with DeadlineExceeded if no answer came in time.
+    /// this function returns; with DeadlineExceeded if no answer arrives in time.
     virtual void send(const SocketAddress& address, std::vector<PeerMessage> batch, Callback callback) = 0;
-    /// Returns what was carried so far, both ways.
+    /// Returns the totals so far, in both directions.
     virtual TransportCounters counters() const = 0;
 };
 
--- a/include/catkinwing/Membership/ShareDivision.h
+++ b/include/catkinwing/Membership/ShareDivision.h
@@ -6,29 +6,30 @@
 
 namespace catkinwing {
 
-/// A rate that holds for all entries of a region together: no more than
-/// `perSecond * ratio + slack` within any second.
+/// A rate limit for all entries of a region together: at most
+/// `perSecond * ratio + slack` requests within any second.
 struct SharedRate {
     double perSecond { 0 };
     double ratio { 1 };
     double slack { 0 };
 };
 
-/// What one entry may use of it.
+/// The share of one entry in a SharedRate.
 struct RateShare {
     double perSecond { 0 };
-    /// Requests at once; zero if the entry has no share.
+    /// Maximum number of requests at once; zero if the entry has no share.
     double burst { 0 };
 };
 
-/// Divides what \p subject bears among \p entries, of which \p self is one. Each
-/// share allows at least one request at a time, so only as many entries get one
-/// as the rate allows; they are chosen by rendezvous, so that all entries that
-/// know the same entries agree without a word. An entry that isn't in the list gets none.
+/// Divides the rate that \p subject can sustain among \p entries, and returns the share
+/// of \p self. Each share allows at least one request at a time, so the rate limits the
+/// number of entries that get one. They are chosen by rendezvous hash, so that all
+/// entries with the same list agree without communication. An entry that isn't in the
+/// list gets no share.
 RateShare divideRate(const std::vector<std::string>& entries, absl::string_view self, absl::string_view subject, const SharedRate& rate);
 
-/// Returns the entry of \p entries that does something for all of them, such as
-/// watching the store; the same one for all that know the same entries. Empty if
+/// Returns the entry of \p entries that performs \p duty for all of them, such as
+/// watching the store. The result depends only on the set of entries, and is empty if
 /// there are none.
 std::string chooseDelegate(const std::vector<std::string>& entries, absl::string_view duty);
 
--- a/lib/Membership/CrashHistory.cpp
+++ b/lib/Membership/CrashHistory.cpp
@@ -4,28 +4,29 @@
 
 namespace catkinwing {
 
-/// Crashes within this time count as one. Entries learn of the same moment some
+/// Crashes within this time count as one. Entries detect simultaneous crashes some
 /// hundred milliseconds apart.
 static constexpr std::chrono::milliseconds sameMoment { 300 };
-/// A request that had been at an endpoint for less than this may have been sent to
-/// one that was gone already.
+/// Minimum run time for a separate crash. A request that ran for less may have been
+/// sent to an endpoint that had already crashed.
 static constexpr std::chrono::milliseconds leastRun { 20 };
-/// Crashes kept of one request.
+/// Maximum number of crashes kept for one request.
 static constexpr std::size_t mostCrashes = 16;
-/// A client that repeats a request does so within seconds or a few minutes.
+/// Retention of a crash. Clients retry a request within seconds or a few minutes.
 static constexpr std::chrono::minutes crashKept { 5 };
-/// How long a request is refused first. An engine that it crashes is replaced by
-/// a repaired one in minutes at the soonest; a wrong suspicion ends by then.
+/// Duration of the first refusal period. Replacing a crashing engine by a fixed one
+/// takes minutes at least; a false suspicion ends after this time.
 static constexpr std::chrono::minutes firstRefusal { 2 };
-/// Each further refusal is twice as long, up to 32 times the first.
+/// Each further refusal period is twice as long, up to 32 times the first.
 static constexpr unsigned mostDoublings = 5;
-/// After a refusal one crash is enough to refuse again, for this long.
+/// Time after a refusal period during which a single crash starts another one.
 static constexpr std::chrono::minutes probation { 10 };
-/// That a request survived is told for this long.
+/// Time for which an answer to a request is kept and reported.
 static constexpr std::chrono::seconds survivalKept { 10 };
 
-/// A time that was told is later by the way of the telling, some hundred
-/// milliseconds each time; such a difference is no news unless it clears a crash.
+/// Each transfer between entries shifts a reported time by up to some hundred
+/// milliseconds. Smaller differences than this don't count as a change unless they clear
+/// a crash.
 static constexpr std::chrono::seconds tellingError { 1 };
 
 static Duration refusalTime(unsigned refusals)
@@ -89,8 +90,8 @@
     return true;
 }
 
-// Survival first, since it takes out older crashes; then the refusal, so that
-// the crash that led to it doesn't lead to another one.
+// The survival is merged first, since it removes older crashes; then the refusal, so
+// that the crash that caused it doesn't start another refusal period.
 bool mergeHistory(CrashHistory& history, const CrashHistory& other)
 {
     bool clearsCrash = !history.crashes.empty() && history.crashes.front().at < other.survivedAt;
--- a/lib/Membership/EntryGroups.cpp
+++ b/lib/Membership/EntryGroups.cpp
@@ -7,9 +7,9 @@
 
 namespace catkinwing {
 
-/// A collector hears ten reports a second of each member and sends as many
-/// digests: some 1,300 datagrams a second for so many. Members are spread by hash,
-/// so that this is the mean and a group may be half as large again.
+/// Maximum mean size of a group. A collector receives ten reports a second from each
+/// member and sends as many digests, some 1,300 datagrams a second for this size. Members
+/// are distributed by hash, so a single group may be half as large again.
 static constexpr std::size_t mostMembers = 64;
 static constexpr std::size_t collectorsPerGroup = 2;
 
--- a/lib/Membership/MemberTable.h
+++ b/lib/Membership/MemberTable.h
@@ -8,15 +8,15 @@
 
 namespace catkinwing {
 
-/// What an entry keeps of one run of another entry of its zone.
+/// The state that an entry keeps for one incarnation of another entry of its zone.
 struct Member {
     EntryIdentity identity;
     MemberState state { MemberState::Live };
     bool draining { false };
-    /// True if another entry answers at its address.
+    /// True if another entry answers at the address of this member.
     bool isAddressTaken { false };
 
-    /// Time of the latest message, or at which waiting for one began.
+    /// Time of the latest message received, or of the start of waiting for one.
     TimePoint heardAt {};
     std::uint64_t heardSequence { 0 };
     /// Time at which the latest message that the member acknowledged was sent.
@@ -41,11 +41,11 @@
     std::map<std::string, std::uint32_t> load;
     ServedTracker served;
 
-    /// Forgets all that the member said, as after a freeze of this entry.
+    /// Resets all reported state, for example after a pause of this entry's process.
     void dropReports();
-    /// Returns whether the member lately acknowledged a message.
+    /// Returns whether the member recently acknowledged a message of this entry.
     bool hearsUs(const MembershipOptions& options, TimePoint now, Duration interval) const;
-    /// Returns whether new work may go to it.
+    /// Returns whether new requests may be forwarded to the member.
     bool isUsable(const MembershipOptions& options, TimePoint now, Duration interval) const;
 };
 
@@ -56,7 +56,7 @@
     const std::map<std::string, Member>& all() const { return m_members; }
     /// Returns the member, or null.
     Member* find(const std::string& name);
-    /// Returns the member if it is of just this run, or null.
+    /// Returns the member if its incarnation matches, or null.
     Member* find(const EntryRef& ref);
     /// Returns whether a member that isn't dead answers at \p address.
     bool isInUse(const SocketAddress& address) const;
--- a/lib/Membership/PeerChannel.cpp
+++ b/lib/Membership/PeerChannel.cpp
@@ -5,7 +5,7 @@
 
 namespace catkinwing {
 
-// Messages whose acknowledgement is waited for.
+// Maximum number of sent messages kept until they are acknowledged.
 static constexpr std::size_t maxUnacknowledged = 6;
 
 namespace {
@@ -91,7 +91,7 @@
     noteTold(found->rosters, m_rosters);
     m_leaving.insert(found->leaving.begin(), found->leaving.end());
     TimePoint sentAt = found->sentAt;
-    // The message itself stays: it may be acknowledged again.
+    // Only older messages are dropped, since this one may be acknowledged again.
     m_sent.erase(m_sent.begin(), found);
     return sentAt;
 }
--- a/lib/Membership/PeerChannel.h
+++ b/lib/Membership/PeerChannel.h
@@ -23,11 +23,11 @@
     bool hasMore { false };
 };
 
-/// Returns the \p limit items of \p current that differ most from \p told; a name
-/// that \p told alone has counts as zero.
+/// Returns the \p limit items of \p current that differ most from \p told, the counts
+/// already sent. A name that only \p told contains counts as zero in \p current.
 TopChanges topChanges(const std::vector<NamedCount>& current, const CountTable& told, std::size_t limit);
 
-/// What one message told the peer.
+/// The content of one message to the peer.
 struct SentContent {
     std::uint64_t sequence { 0 };
     TimePoint sentAt {};
@@ -41,22 +41,22 @@
     std::vector<NamedCount> rosters;
 };
 
-/// The sending side of the exchange with one run of a member: remembers what the
+/// The sending side of the exchange with one incarnation of a member. Records what the
 /// member has acknowledged, so that only changes are sent.
 class PeerChannel {
 public:
-    /// Forgets all that was told.
+    /// Drops all state, so that everything is sent again.
     void reset() { *this = PeerChannel(); }
-    /// Notes what a message tells.
+    /// Records the content of a sent message.
     void record(SentContent content);
-    /// Takes what the message of \p sequence told as known to the member. Returns
-    /// when it was sent, or none if it is not among the latest.
+    /// Records that the member has received the message \p sequence. Returns the time at
+    /// which the message was sent, or none if it isn't among the latest ones.
     std::optional<TimePoint> acknowledge(std::uint64_t sequence);
 
     /// Returns whether the member has acknowledged anything.
     bool isKnown() const { return m_isKnown; }
-    /// Returns whether the member has these hashes and no others, whichever of the
-    /// latest messages arrived.
+    /// Returns whether the member has exactly these hashes, whichever of the unacknowledged
+    /// messages have arrived.
     bool hasOnly(const StateHashes& hashes) const;
     const CountTable& served() const { return m_served; }
     const CountTable& load() const { return m_load; }
@@ -65,9 +65,9 @@
     /// Returns the hash of the zone's entries that the member has; zero for none.
     std::uint64_t rosterDigest(const std::string& zone) const;
     bool knowsLeaving(const EndpointLeaving& endpoint) const { return m_leaving.count(endpoint) > 0; }
-    /// Takes the endpoint as known to the member.
+    /// Records that the member knows that the endpoint is leaving.
     void noteLeaving(const EndpointLeaving& endpoint) { m_leaving.insert(endpoint); }
-    /// Forgets an endpoint that is no longer kept.
+    /// Removes an endpoint that is no longer tracked.
     void forgetLeaving(const EndpointLeaving& endpoint) { m_leaving.erase(endpoint); }
 
 private:
--- a/lib/Membership/ServedTracker.h
+++ b/lib/Membership/ServedTracker.h
@@ -4,16 +4,16 @@
 
 namespace catkinwing {
 
-/// Turns the running totals of one source into increments.
+/// Converts the running totals of one source into increments.
 class ServedTracker {
 public:
-    /// Returns the tokens since the last total of the team. A team's first total
-    /// counts only if all were known before, and one that fell not at all: the
-    /// source started again.
+    /// Returns the tokens since the last total of the team. The first total of a team
+    /// counts only after noteComplete(). A total that decreased gives zero, since the
+    /// source has restarted.
     std::uint64_t increment(const TeamTokens& total);
-    /// Notes that the source has told all that it had.
+    /// Records that the source has reported the totals of all its teams.
     void noteComplete() { m_isComplete = true; }
-    /// Forgets all totals.
+    /// Drops all totals.
     void reset() { *this = ServedTracker(); }
 
 private:
--- a/lib/Membership/ShareDivision.cpp
+++ b/lib/Membership/ShareDivision.cpp
@@ -5,13 +5,13 @@
 
 namespace catkinwing {
 
-/// Part of the allowance for sudden requests that is given out. What is kept
-/// back covers entries that for a moment know different lists of entries.
+/// Fraction of the burst allowance that is distributed. The remainder covers entries that
+/// temporarily have different lists of entries.
 static constexpr double sharedPart = 0.6;
 
 RateShare divideRate(const std::vector<std::string>& entries, absl::string_view self, absl::string_view subject, const SharedRate& rate)
 {
-    // Within any second each holder sends its part of the rate and one more.
+    // Within any second each holder sends at most its share of the rate plus one request.
     double room = (rate.perSecond * (rate.ratio - 1) + rate.slack) * sharedPart;
     auto holders = static_cast<std::size_t>(std::max(room, 1.0));
     std::uint64_t ownScore = stableHash(self, stableHash(subject));
