--- a/include/catkinwing/Membership/CrashingRequests.h
+++ b/include/catkinwing/Membership/CrashingRequests.h
@@ -11,74 +11,77 @@
 
 namespace catkinwing {
 
-/// Requests under which endpoints have crashed, as far as this entry knows. It
-/// tells a request that crashes endpoints from one that ran beside it: the one is
-/// never answered, and the crashes of the other have another cause.
+/// Tracks requests that were running when endpoints crashed. Distinguishes a request that
+/// crashes endpoints from requests that ran at the same time: the former is never
+/// answered, whereas an answer to the latter shows that its crashes have another cause.
 class CrashingRequests {
 public:
-    /// \p seed spreads over the entries when a refused request is tried again.
+    /// \p seed differs between entries, and so do the times at which they accept a
+    /// refused request again.
     explicit CrashingRequests(std::uint64_t seed = 0)
         : m_seed(seed)
     {
     }
 
-    /// Tells whether any request is known, so that fingerprints matter.
+    /// Returns whether no request is tracked, in which case no fingerprints are needed.
     bool isEmpty() const { return m_pending.empty() && m_known.empty(); }
-    /// A connection broke while the endpoint ran the request, \p ranFor after it was
-    /// sent there. Counts as its crash unless the endpoint is heard from again; only
-    /// entries of \p regions may learn of it, or all if empty.
+    /// Records that the connection to \p endpoint broke while it ran the request, \p ranFor
+    /// after the request was sent. This counts as a crash of the endpoint unless data from
+    /// it is received again. Only entries of \p regions may be notified, or all if empty.
     void noteBroken(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor = {});
-    /// The endpoint has sent something.
+    /// Records that data from the endpoint was received.
     void noteAlive(std::uint32_t endpoint, TimePoint now);
-    /// The endpoint takes no connections, or another one has its address.
+    /// Records that the endpoint refuses connections, or that another one has its address.
     void noteGone(std::uint32_t endpoint, TimePoint now);
-    /// An endpoint answered the request.
+    /// Records that an endpoint answered the request.
     void noteSurvived(const RequestFingerprint& request, TimePoint now);
-    /// Returns how much longer the request is refused; nothing if it isn't.
+    /// Returns the time for which the request is still refused, or none.
     std::optional<Duration> refusedFor(const RequestFingerprint& request, TimePoint now) const;
-    /// The last crash under a request.
+    /// The latest crash during an attempt of a request.
     struct RecentCrash {
         TimePoint at {};
-        /// It is the only one, and no other entry has told of one: most likely the request
-        /// merely ran beside the one that crashed the endpoint.
+        /// True if the crash is the only one and no other entry has reported one. Then the
+        /// request probably just ran on the endpoint that another request crashed.
         bool isOnlyOwn { true };
-        /// Those whose entries may know of it; all if empty.
+        /// Regions whose entries may be notified of the crash; all if empty.
         std::vector<std::uint32_t> regions {};
     };
-    /// Returns the crash of which it isn't known whether the request is to blame for it;
-    /// nothing if it needn't wait for that.
+    /// Returns the latest crash that the request may have caused, or none if the request
+    /// needn't wait.
     std::optional<RecentCrash> crashToAwait(const RequestFingerprint& request, TimePoint now) const;
-    /// Returns when the request may be sent from here, so that the same request is tried
-    /// once at a time until it is known whether it is to blame for the crash. Entries
-    /// take turns in the order given.
+    /// Returns when this entry may send the request. Entries take turns in \p order, so
+    /// that only one attempt of the same request runs at a time until it is known whether
+    /// the request caused the crash.
     TimePoint turnOf(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const;
-    /// A request for which crashToAwait() returned something is sent.
+    /// Records that a request is sent for which crashToAwait() returned a crash.
     void noteTried(const RequestFingerprint& request, TimePoint now) { m_tried[request] = now; }
 
-    /// Takes what another entry knows.
+    /// Merges a notice of another entry.
     void take(const CrashNotice& notice, TimePoint now);
-    /// Settles what has broken and forgets what is old; to be called several times a second.
+    /// Decides whether broken connections were crashes, and removes expired state. To be
+    /// called several times a second.
     void houseKeep(TimePoint now);
-    /// Returns connections that broke and answers that refute them since the last call,
-    /// for entries to which the same request may come before the crash is settled.
+    /// Returns broken connections, and answers that show that the request caused no crash,
+    /// since the last call. Other entries may receive the same request before the crash is
+    /// settled.
     std::vector<CrashNotice> takeUrgent(TimePoint now);
-    /// Calls back when there is something to take.
+    /// Sets the callback for the first notice that takeUrgent() has to return.
     void onUrgent(std::function<void()> callback) { m_onUrgent = std::move(callback); }
-    /// Returns crashes settled since the last call, for the entries that count them.
+    /// Returns crashes settled since the last call, for the entries that count crashes.
     std::vector<CrashNotice> takeSettled() { return std::exchange(m_settled, {}); }
-    /// Returns what has changed of requests under which more than one endpoint
-    /// crashed, each for some calls.
+    /// Returns the changed histories of suspect requests: those with several separate
+    /// crashes, a refusal or an answer. Each change is returned by several calls.
     std::vector<CrashNotice> takeNews(TimePoint now);
-    /// Returns all that is known of such requests.
+    /// Returns the histories of all suspect requests.
     std::vector<CrashNotice> suspects(TimePoint now) const;
-    /// Returns the number of requests that are refused now.
+    /// Returns the number of requests that are refused at \p now.
     std::size_t refused(TimePoint now) const;
     std::size_t size() const { return m_known.size(); }
-    /// Returns the number of requests whose answers are remembered.
+    /// Returns the number of requests that are recorded as answered.
     std::size_t answered() const { return m_answered.size(); }
 
 private:
-    /// A connection that broke a moment ago.
+    /// A broken connection that is not yet settled.
     struct Broken {
         RequestFingerprint request;
         std::uint32_t endpoint { 0 };
@@ -86,15 +89,15 @@
         Duration ranFor { 0 };
         std::vector<std::uint32_t> regions;
         bool isGone { false };
-        /// Another entry's; it settles it.
+        /// True if another entry reported the connection; that entry settles it.
         bool isTold { false };
     };
     struct Answered {
         TimePoint at {};
-        /// This entry has answered it itself.
+        /// True if the answer passed through this entry.
         bool isOwn { false };
     };
-    /// A broken connection, or an answer, that is to be told at once.
+    /// A broken connection, or an answer, to be reported immediately.
     struct Urgent {
         Broken broken;
         bool isAnswered { false };
@@ -102,13 +105,13 @@
     struct Known {
         CrashHistory history;
         std::vector<std::uint32_t> regions;
-        /// How often it is still to be told as news.
+        /// Number of calls of takeNews() that still return the history.
         unsigned timesToTell { 0 };
     };
 
     std::optional<RecentCrash> recentCrash(const RequestFingerprint& request, TimePoint now) const;
     void tellAtOnce(Urgent urgent);
-    /// Takes out what broke before the request was answered.
+    /// Removes pending connections of the request that broke up to \p answeredAt.
     void dropPending(const RequestFingerprint& request, TimePoint answeredAt);
     void noteAnswered(const RequestFingerprint& request, TimePoint at, bool isOwn);
     void forgetAnswers(TimePoint now);
@@ -127,10 +130,10 @@
     std::uint64_t m_seed;
     std::vector<Broken> m_pending;
     absl::flat_hash_map<RequestFingerprint, Known, RequestFingerprintHash> m_known;
-    /// Requests that were answered of late.
+    /// Requests that were answered recently.
     absl::flat_hash_map<RequestFingerprint, Answered, RequestFingerprintHash> m_answered;
     TimePoint m_answersForgottenAt {};
-    /// When requests that may have to wait were last sent from here.
+    /// Times at which this entry last sent requests that may have to wait.
     absl::flat_hash_map<RequestFingerprint, TimePoint, RequestFingerprintHash> m_tried;
     /// The refused request that crashed each endpoint.
     absl::flat_hash_map<std::uint32_t, RequestFingerprint> m_causes;
--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -9,41 +9,43 @@
 
 using std::chrono::milliseconds;
 
-/// An endpoint that isn't heard from for this long after a connection broke has
-/// crashed: streams of others there go on every few tens of milliseconds, and
-/// the next request to it shows the same.
+/// An endpoint counts as crashed if no data from it is received for this long after a
+/// connection broke. Other streams of a live endpoint send data every few tens of
+/// milliseconds, and the next request to the endpoint shows its state as well.
 static constexpr milliseconds settleTime { 500 };
-/// A crash under a request and its news take most of a turn, which is why a request
-/// is sent only as a turn begins.
+/// Length of the turn of one entry. A crash and the notice of it take most of a turn, so
+/// a request is sent only during the first \c turnBegins of it.
 static constexpr milliseconds turnLength { 250 };
 static constexpr milliseconds turnBegins { 80 };
-/// After that time without a further crash or an answer the request goes its way.
+/// A request no longer waits after this time without a further crash.
 static constexpr milliseconds heldAfterCrash { 2'000 };
-/// By then another entry has settled and told what broke there.
+/// Retention of broken connections that other entries reported. Within this time the
+/// other entry has settled them and sent the result.
 static constexpr milliseconds toldPendingKept { 2'000 };
-/// What comes this soon after the break may have been sent before it.
+/// Data received within this time after a connection broke may have been sent before.
 static constexpr milliseconds bytesInFlight { 50 };
-/// Broken connections under consideration: all that an entry has open to a few endpoints.
+/// Maximum number of pending broken connections: all the connections of an entry to a
+/// few endpoints.
 static constexpr std::size_t mostPending = 1'024;
-/// Broken connections and answers told at once, of all that came together.
+/// Maximum number of broken connections and answers returned by one takeUrgent().
 static constexpr std::size_t mostUrgent = 16;
-/// Requests kept; some 150 bytes each and 12 for each crash.
+/// Maximum number of requests kept, at some 150 bytes each plus 12 for each crash.
 static constexpr std::size_t mostKnown = 4'096;
-/// Of these, the part that makes room for others when all are taken.
+/// Number of requests evicted at once when the maximum is reached.
 static constexpr std::size_t roomMade = mostKnown / 4;
-/// Answers are remembered for this long: what many clients ask is answered again within it.
+/// Retention of answers. A request that many clients send is answered again within it.
 static constexpr std::chrono::seconds answersKept { 30 };
 static constexpr std::chrono::seconds forgetAnswersEvery { 1 };
-/// Answered requests remembered, those of as long at 130 a second.
+/// Maximum number of answered requests kept: 130 a second during \c answersKept.
 static constexpr std::size_t mostAnswered = 4'096;
-/// News is told this often, each time to others.
+/// Number of times that a change is reported, each time to other entries.
 static constexpr unsigned tellNewsTimes = 5;
-/// Entries try a refused request again over this part of its refusal's time, so
-/// that the first one's experience reaches the others.
+/// Maximum extra time for which an entry refuses a request. Entries accept the request
+/// again at different times, so that the outcome of the first attempt reaches the others.
 static constexpr milliseconds longestDelay { 60'000 };
-/// A refusal told for longer than this isn't one of ours.
+/// Reported refusals that are longer are ignored, since no entry creates them.
 static constexpr std::chrono::hours longestRefusal { 2 };
-/// Crashes told with a longer age belong to nothing that is still known.
+/// Reported crashes that are older are ignored, since no entry still keeps them.
 static constexpr std::chrono::hours longestAge { 3 };
 
 static milliseconds ageOf(TimePoint at, TimePoint now)
@@ -73,8 +75,8 @@
         m_onUrgent();
 }
 
-// Requests that had just come first: of what ran at a crashed endpoint, they are
-// the most likely to have crashed it.
+// The most recently dispatched requests come first: of those that ran on a crashed
+// endpoint, they are the most likely cause.
 std::vector<CrashNotice> CrashingRequests::takeUrgent(TimePoint now)
 {
     std::vector<Urgent> urgent = std::exchange(m_urgent, {});
@@ -139,13 +141,15 @@
         noteChange(request, known, refusals, now);
 }
 
-// Each entry begins to try again at its own time.
+// The delay depends on the seed, so that entries accept the request again at different
+// times.
 Duration CrashingRequests::delayOf(const RequestFingerprint& request) const
 {
     return milliseconds(stableHash(request, m_seed) % static_cast<std::uint64_t>(longestDelay.count()));
 }
 
-// Connections that broke just now would lead to a refusal if they are crashes.
+// Returns whether the request would be refused if all its pending connections were
+// crashes.
 bool CrashingRequests::mayBeRefusedSoon(const RequestFingerprint& request, CrashHistory history) const
 {
     unsigned refusals = history.refusals;
@@ -185,14 +189,14 @@
     return last;
 }
 
-// What was answered before the crash is most likely not to blame for it.
+// A request that was answered recently is most likely not the cause of the crash.
 std::optional<CrashingRequests::RecentCrash> CrashingRequests::crashToAwait(const RequestFingerprint& request, TimePoint now) const
 {
     return m_answered.count(request) > 0 ? std::nullopt : recentCrash(request, now);
 }
 
-// Turns are counted from the crash; each is that of the entry whose rank is its number
-// modulo the number of entries.
+// Turns are numbered from the crash on. A turn belongs to the entry whose rank is the
+// number of the turn modulo the number of entries.
 TimePoint CrashingRequests::turnOf(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const
 {
     auto tried = m_tried.find(request);
@@ -217,7 +221,7 @@
     return cause != m_causes.end() && cause->second != request;
 }
 
-// What ran beside a refused request on the endpoints that it crashed isn't to blame.
+// Requests that ran on the endpoints that a refused request crashed are not the cause.
 void CrashingRequests::explainCrashes(const RequestFingerprint& request, const CrashHistory& history)
 {
     for (const EndpointCrash& crash : history.crashes) {
@@ -246,7 +250,8 @@
         explainCrashes(request, history);
 }
 
-// Those that are refused stay longest; of the others, the ones with the latest crash.
+// Evicts the requests with the earliest last crash or end of refusal, so that refused
+// requests stay longest.
 void CrashingRequests::makeRoom()
 {
     std::vector<std::pair<TimePoint, RequestFingerprint>> byTime;
@@ -319,8 +324,9 @@
     });
 }
 
-// An answer that came since refutes the crash. One from before says that the request
-// is most likely not to blame, so that the others needn't wait either.
+// An answer since the break shows that the request caused no crash. An earlier one shows
+// that the request is most likely not the cause. Answers that passed through this entry
+// are reported, so that other entries needn't wait either.
 void CrashingRequests::takePending(const CrashNotice& notice, const ToldCrash& crash, TimePoint now)
 {
     TimePoint at = now - crash.age;
--- a/unittests/Membership/CrashHistoryTest.cpp
+++ b/unittests/Membership/CrashHistoryTest.cpp
@@ -13,7 +13,7 @@
     return { endpoint, began + after };
 }
 
-TEST_CASE("a request is refused after three crashes that came one after another")
+TEST_CASE("a request is refused after three separate crashes")
 {
     CrashHistory history;
     CHECK(noteCrash(history, crash(1, 0s)));
@@ -34,19 +34,19 @@
     CHECK(history.refusals == 0);
 }
 
-TEST_CASE("a crash of an endpoint that got the request after the crash before has no cause in common with it")
+TEST_CASE("a crash is separate if its endpoint received the request after the previous crash")
 {
     CrashHistory history;
     noteCrash(history, crash(1, 0ms));
     noteCrash(history, { 2, began + 100ms, 80ms });
     CHECK(separateCrashes(history) == 2);
-    // Under way at the crash before, or sent to an endpoint that was gone already.
+    // Running at the previous crash, or sent to an endpoint that had already crashed.
     noteCrash(history, { 3, began + 150ms, 60ms });
     noteCrash(history, { 4, began + 160ms, 5ms });
     CHECK(separateCrashes(history) == 2);
 }
 
-TEST_CASE("an answer takes back all crashes before it")
+TEST_CASE("an answer removes all earlier crashes")
 {
     CrashHistory history;
     noteCrash(history, crash(1, 0s));
@@ -62,7 +62,7 @@
     CHECK(history.refusals == 0);
 }
 
-TEST_CASE("after a refusal one crash leads to a longer one, and those told late to none")
+TEST_CASE("one crash after a refusal period starts a longer one, and a crash during the period starts none")
 {
     CrashHistory history;
     for (std::uint32_t endpoint = 1; endpoint <= 3; ++endpoint)
@@ -75,7 +75,7 @@
     CHECK(history.refusedUntil - first > first - began);
 }
 
-TEST_CASE("what entries know comes to the same in whichever order it is told")
+TEST_CASE("merging histories gives the same result in any order")
 {
     std::vector<CrashHistory> told(4);
     noteCrash(told[0], crash(1, 0s));
@@ -95,7 +95,7 @@
     } while (std::next_permutation(order.begin(), order.end()));
 }
 
-TEST_CASE("a history is bounded and forgotten")
+TEST_CASE("a history is bounded and expires")
 {
     CrashHistory history;
     noteCrash(history, crash(1, 0s));
--- a/unittests/Membership/CrashingRequestsTest.cpp
+++ b/unittests/Membership/CrashingRequestsTest.cpp
@@ -13,20 +13,20 @@
     return result;
 }
 
-/// Lets \p endpoint crash under a request at \p at, and settles it.
+/// Records a crash of \p endpoint during \p request at \p at, and settles it.
 static void crash(CrashingRequests& requests, std::uint32_t request, std::uint32_t endpoint, TimePoint at)
 {
     requests.noteBroken(fingerprint(request), endpoint, {}, at);
     requests.houseKeep(at + 600ms);
 }
 
-TEST_CASE("a broken connection counts unless its endpoint is heard from again")
+TEST_CASE("a broken connection counts as a crash unless the endpoint sends data again")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
     requests.noteBroken(fingerprint(1), 7, {}, now);
     requests.noteBroken(fingerprint(1), 8, {}, now);
-    // Bytes that were on their way when the connection broke.
+    // Bytes that were in flight when the connection broke.
     requests.noteAlive(8, now + 10ms);
     requests.noteAlive(7, now + 200ms);
     requests.houseKeep(now + 600ms);
@@ -37,7 +37,7 @@
     CHECK(settled[0].crashes[0].age == 600ms);
 }
 
-TEST_CASE("an endpoint that takes no connections has crashed at once")
+TEST_CASE("an endpoint that refuses connections counts as crashed without waiting")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
@@ -49,7 +49,7 @@
     CHECK(requests.takeSettled().size() == 1);
 }
 
-TEST_CASE("an answer before the break is settled clears the request")
+TEST_CASE("an answer before a broken connection is settled clears the request")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
@@ -60,7 +60,7 @@
     CHECK(requests.isEmpty());
 }
 
-TEST_CASE("a request that may be the third to crash an endpoint isn't sent before that is settled")
+TEST_CASE("a request is refused while a possible third crash is not settled")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
@@ -75,7 +75,7 @@
     CHECK_FALSE(requests.refusedFor(fingerprint(1), now + 2200ms));
 }
 
-/// What another entry tells of a connection that broke just now.
+/// Returns the notice of another entry about a connection that has just broken.
 static CrashNotice brokenElsewhere(std::uint32_t request, std::uint32_t endpoint)
 {
     CrashNotice notice;
@@ -84,9 +84,9 @@
     return notice;
 }
 
-// Guards against the same request at several endpoints while it isn't known whether
-// it crashes them.
-TEST_CASE("entries take turns to send a request after a crash under it")
+// Guards against sending the same request to several endpoints while it isn't known
+// whether the request crashes them.
+TEST_CASE("entries take turns to send a request after a crash during it")
 {
     constexpr std::size_t entries = 3;
     TimePoint now { 100s };
@@ -109,8 +109,8 @@
     CHECK_FALSE(requests[0].crashToAwait(fingerprint(1), now + 5s));
 }
 
-// Guards against holding up what ran beside the request that crashed an endpoint.
-TEST_CASE("a request under which only this entry saw one endpoint crash is told from one that crashed several")
+// Guards against delaying requests that ran on an endpoint that another request crashed.
+TEST_CASE("a single crash that only this entry has seen is marked as such")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
@@ -124,7 +124,7 @@
     CHECK_FALSE(requests.crashToAwait(fingerprint(1), now + 100ms)->isOnlyOwn);
 }
 
-TEST_CASE("a request that was answered before a crash doesn't wait, and the entry that answered it tells the others")
+TEST_CASE("a request that was answered before a crash doesn't wait, and the answering entry notifies the others")
 {
     CrashingRequests requests;
     bool isUrgent = false;
@@ -145,7 +145,7 @@
     CHECK_FALSE(other.crashToAwait(fingerprint(1), now + 2s));
 }
 
-TEST_CASE("what had just come to a crashed endpoint is told first")
+TEST_CASE("the requests dispatched last to a crashed endpoint are reported first")
 {
     CrashingRequests requests;
     requests.onUrgent([] {});
@@ -159,7 +159,7 @@
     CHECK_FALSE(told[0].crashes[0].isSettled);
 }
 
-TEST_CASE("what ran on endpoints that a refused request crashed isn't to blame for them")
+TEST_CASE("crashes that a refused request caused don't count for other requests")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
@@ -169,13 +169,13 @@
     }
     crash(requests, 1, 9, now + 2s);
     REQUIRE(requests.refusedFor(fingerprint(1), now + 3s));
-    // Its first two crashes were the other one's.
+    // The first two crashes of request 2 were caused by request 1.
     crash(requests, 2, 9, now + 2s);
     crash(requests, 2, 10, now + 3s);
     CHECK_FALSE(requests.refusedFor(fingerprint(2), now + 4s));
 }
 
-TEST_CASE("requests of somebody who sends a million different ones are bounded, and the refused one stays")
+TEST_CASE("the number of tracked requests is bounded for a million different ones, and a refused one is kept")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
@@ -192,7 +192,7 @@
     CHECK(requests.refusedFor(fingerprint(1), now + 5s));
 }
 
-TEST_CASE("what another entry tells is checked: a refusal without bounds is none")
+TEST_CASE("a reported refusal that is too long is ignored")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
--- a/unittests/Membership/EntryGroupsTest.cpp
+++ b/unittests/Membership/EntryGroupsTest.cpp
@@ -14,7 +14,7 @@
     return entries;
 }
 
-TEST_CASE("groups stay small however many entries a region has, and each within a zone")
+TEST_CASE("groups have a limited size for any number of entries, and each lies within one zone")
 {
     for (std::size_t perZone : { 1, 3, 50, 300, 500 }) {
         std::vector<GroupedEntry> entries = entriesOf(2, perZone);
@@ -34,7 +34,7 @@
     }
 }
 
-TEST_CASE("whoever knows the same entries in any order divides them alike, and one that goes moves no other collector")
+TEST_CASE("the division doesn't depend on the order of entries, and removing an entry changes no other collector")
 {
     std::vector<GroupedEntry> entries = entriesOf(2, 40);
     std::vector<EntryGroup> before = divideIntoGroups(entries);
--- a/unittests/Membership/FailureDetectionTest.cpp
+++ b/unittests/Membership/FailureDetectionTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-TEST_CASE("exchanges become rarer only in large zones")
+TEST_CASE("the exchange interval grows only in large zones")
 {
     MembershipOptions options;
     CHECK(exchangeInterval(options, 0) == options.heartbeatInterval);
@@ -23,7 +23,7 @@
     CHECK(judgeSilence(options, 12001ms, 3s) == MemberState::Dead);
 }
 
-TEST_CASE("short exchange intervals don't make a lost message a death")
+TEST_CASE("at short exchange intervals the minimum times until suspect and dead apply")
 {
     MembershipOptions options;
     CHECK(judgeSilence(options, options.minSuspectAfter, 1s) == MemberState::Live);
@@ -31,7 +31,7 @@
     CHECK(judgeSilence(options, options.minDeadAfter + 1ms, 1s) == MemberState::Dead);
 }
 
-TEST_CASE("probes slow down up to a bound")
+TEST_CASE("the probe interval doubles up to the maximum")
 {
     MembershipOptions options;
     CHECK(nextProbeInterval(options, 2s) == 4s);
--- a/unittests/Membership/PeerChannelTest.cpp
+++ b/unittests/Membership/PeerChannelTest.cpp
@@ -15,7 +15,7 @@
     return content;
 }
 
-TEST_CASE("the largest changes go first and what is gone counts as zero")
+TEST_CASE("the largest changes are returned first, and removed names count as zero")
 {
     CountTable told { { "same", 5 }, { "grown", 10 }, { "gone", 30 } };
     std::vector<NamedCount> current { { "same", 5 }, { "grown", 30 }, { "new", 7 } };
@@ -29,7 +29,7 @@
     CHECK_FALSE(topChanges(current, told, 3).hasMore);
 }
 
-TEST_CASE("only what was acknowledged counts as told")
+TEST_CASE("only acknowledged content counts as known to the peer")
 {
     PeerChannel channel;
     channel.record(contentOf(1, { { "a", 10 } }));
@@ -43,7 +43,7 @@
     CHECK_FALSE(channel.acknowledge(3).has_value());
 }
 
-TEST_CASE("hashes count as known only while no other may have arrived")
+TEST_CASE("hashes count as known only while no message with other hashes may have arrived")
 {
     PeerChannel channel;
     SentContent first = contentOf(1, {});
@@ -61,7 +61,7 @@
     CHECK(channel.hasOnly(second.hashes));
 }
 
-TEST_CASE("a member that forgot is told all again")
+TEST_CASE("after a reset nothing counts as known to the member")
 {
     PeerChannel channel;
     channel.record(contentOf(1, { { "a", 10 } }));
--- a/unittests/Membership/RelayChoiceTest.cpp
+++ b/unittests/Membership/RelayChoiceTest.cpp
@@ -24,7 +24,7 @@
     CHECK(rankRelays(members, "a", "b") == ranked);
 }
 
-TEST_CASE("a member that goes moves only its own zones")
+TEST_CASE("removing a member reassigns only its own zones")
 {
     std::vector<std::string> members = nineMembers();
     for (int zone = 0; zone < 59; ++zone) {
@@ -35,7 +35,7 @@
     }
 }
 
-TEST_CASE("zones are shared out over the members")
+TEST_CASE("zones are distributed over the members")
 {
     std::map<std::string, int> zonesOf;
     for (int zone = 0; zone < 590; ++zone)
--- a/unittests/Membership/ShareDivisionTest.cpp
+++ b/unittests/Membership/ShareDivisionTest.cpp
@@ -12,7 +12,7 @@
     return names;
 }
 
-TEST_CASE("shares of a rate never add up to more than all entries may send within a second")
+TEST_CASE("the shares of a rate add up to no more than the rate allows within a second")
 {
     for (std::size_t count : { 1u, 2u, 3u, 7u, 30u, 200u }) {
         for (double perSecond : { 0.5, 2.0, 5.4, 9.7, 40.0 }) {
@@ -32,7 +32,7 @@
     }
 }
 
-TEST_CASE("entries that for a moment know different lists stay within the rate")
+TEST_CASE("entries that temporarily have different lists stay within the rate")
 {
     SharedRate rate { 5.4, 1.5, 3 };
     for (std::size_t count : { 5u, 12u, 30u }) {
@@ -56,7 +56,7 @@
     CHECK(divideRate({}, "stranger", "endpoint", { 10, 1.5, 3 }).burst == 0);
 }
 
-TEST_CASE("holders differ between endpoints")
+TEST_CASE("the entries that hold a share differ between endpoints")
 {
     std::vector<std::string> names = entries(30);
     std::size_t endpointsWithShare = 0;
@@ -66,7 +66,7 @@
     CHECK(endpointsWithShare < 25);
 }
 
-TEST_CASE("a delegate is the same for all and changes only when it goes")
+TEST_CASE("the delegate changes only when it is removed")
 {
     std::vector<std::string> names = entries(9);
     std::string delegate = chooseDelegate(names, "duty");
