--- a/include/catkinwing/Membership/CrashHistory.h
+++ b/include/catkinwing/Membership/CrashHistory.h
@@ -39,11 +39,11 @@
 /// Records a crash. Starts a refusal period after \c crashesBeforeRefusal separate
 /// crashes, or after a single crash once an earlier refusal period has ended. Returns
 /// whether the history has changed.
-bool noteCrash(CrashHistory& history, const EndpointCrash& crash);
+bool recordCrash(CrashHistory& history, const EndpointCrash& crash);
 
 /// Records that an endpoint answered the request, and removes earlier crashes, since
 /// the request did not cause them. Returns whether the history has changed.
-bool noteSurvived(CrashHistory& history, TimePoint at);
+bool recordSurvival(CrashHistory& history, TimePoint at);
 
 /// Merges the history of another entry; the result doesn't depend on the order of
 /// merges. Returns whether the history has changed.
@@ -55,6 +55,6 @@
 
 /// Removes crashes that are too old to be related. Returns whether the history can be
 /// dropped altogether.
-bool isForgotten(CrashHistory& history, TimePoint now);
+bool pruneHistory(CrashHistory& history, TimePoint now);
 
 } // namespace catkinwing
--- a/include/catkinwing/Membership/CrashingRequests.h
+++ b/include/catkinwing/Membership/CrashingRequests.h
@@ -82,15 +82,15 @@
 
 private:
     /// A broken connection that is not yet settled.
-    struct Broken {
+    struct BrokenConnection {
         RequestFingerprint request;
         std::uint32_t endpoint { 0 };
         TimePoint at {};
         Duration ranFor { 0 };
         std::vector<std::uint32_t> regions;
-        bool isGone { false };
+        bool isEndpointUnreachable { false };
         /// True if another entry reported the connection; that entry settles it.
-        bool isTold { false };
+        bool isFromOtherEntry { false };
     };
     struct Answered {
         TimePoint at {};
@@ -98,47 +98,47 @@
         bool isOwn { false };
     };
     /// A broken connection, or an answer, to be reported immediately.
-    struct Urgent {
-        Broken broken;
+    struct UrgentNotice {
+        BrokenConnection broken;
         bool isAnswered { false };
     };
-    struct Known {
+    struct KnownRequest {
         CrashHistory history;
         std::vector<std::uint32_t> regions;
         /// Number of calls of takeNews() that still return the history.
-        unsigned timesToTell { 0 };
+        unsigned reportsLeft { 0 };
     };
 
     std::optional<RecentCrash> recentCrash(const RequestFingerprint& request, TimePoint now) const;
-    void tellAtOnce(Urgent urgent);
+    void queueUrgent(UrgentNotice urgent);
     /// Removes pending connections of the request that broke up to \p answeredAt.
     void dropPending(const RequestFingerprint& request, TimePoint answeredAt);
-    void noteAnswered(const RequestFingerprint& request, TimePoint at, bool isOwn);
-    void forgetAnswers(TimePoint now);
-    void takePending(const CrashNotice& notice, const ToldCrash& crash, TimePoint now);
-    void settle(const Broken& broken, TimePoint now);
-    void noteChange(const RequestFingerprint& request, Known& known, unsigned refusalsBefore, TimePoint now);
-    void explainCrashes(const RequestFingerprint& request, const CrashHistory& history);
-    bool isExplained(const RequestFingerprint& request, std::uint32_t endpoint) const;
-    Known& obtain(const RequestFingerprint& request);
-    void makeRoom();
-    Duration delayOf(const RequestFingerprint& request) const;
-    bool mayBeRefusedSoon(const RequestFingerprint& request, CrashHistory history) const;
-    static bool isSuspect(const Known& known);
-    static CrashNotice noticeOf(const RequestFingerprint& request, const Known& known, TimePoint now);
+    void recordAnswer(const RequestFingerprint& request, TimePoint at, bool isOwn);
+    void pruneAnswers(TimePoint now);
+    void recordReportedConnection(const CrashNotice& notice, const ToldCrash& crash, TimePoint now);
+    void settle(const BrokenConnection& broken, TimePoint now);
+    void recordChange(const RequestFingerprint& request, KnownRequest& known, unsigned refusalsBefore, TimePoint now);
+    void attributeCrashes(const RequestFingerprint& request, const CrashHistory& history);
+    bool hasOtherCause(const RequestFingerprint& request, std::uint32_t endpoint) const;
+    KnownRequest& findOrCreate(const RequestFingerprint& request);
+    void evictOldest();
+    Duration refusalDelay(const RequestFingerprint& request) const;
+    bool wouldBeRefused(const RequestFingerprint& request, CrashHistory history) const;
+    static bool isSuspect(const KnownRequest& known);
+    static CrashNotice makeNotice(const RequestFingerprint& request, const KnownRequest& known, TimePoint now);
 
     std::uint64_t m_seed;
-    std::vector<Broken> m_pending;
-    absl::flat_hash_map<RequestFingerprint, Known, RequestFingerprintHash> m_known;
+    std::vector<BrokenConnection> m_pending;
+    absl::flat_hash_map<RequestFingerprint, KnownRequest, RequestFingerprintHash> m_known;
     /// Requests that were answered recently.
     absl::flat_hash_map<RequestFingerprint, Answered, RequestFingerprintHash> m_answered;
-    TimePoint m_answersForgottenAt {};
+    TimePoint m_answersPrunedAt {};
     /// Times at which this entry last sent requests that may have to wait.
     absl::flat_hash_map<RequestFingerprint, TimePoint, RequestFingerprintHash> m_tried;
     /// The refused request that crashed each endpoint.
     absl::flat_hash_map<std::uint32_t, RequestFingerprint> m_causes;
     std::vector<CrashNotice> m_settled;
-    std::vector<Urgent> m_urgent;
+    std::vector<UrgentNotice> m_urgent;
     std::function<void()> m_onUrgent;
 };
 
--- a/include/catkinwing/Membership/EntryGroups.h
+++ b/include/catkinwing/Membership/EntryGroups.h
@@ -31,7 +31,7 @@
 
 /// Divides the entries of a region into groups of limited size. Each group lies within
 /// one availability zone, so that a zone keeps working while it is partitioned from the
-/// others. The groups depend only on the set of entries.
+/// others. The division depends only on the set of entries, not on their order.
 std::vector<EntryGroup> divideIntoGroups(const std::vector<GroupedEntry>& entries);
 
 } // namespace catkinwing
--- a/lib/Membership/CrashHistory.cpp
+++ b/lib/Membership/CrashHistory.cpp
@@ -6,38 +6,38 @@
 
 /// Crashes within this time count as one. Entries detect simultaneous crashes some
 /// hundred milliseconds apart.
-static constexpr std::chrono::milliseconds sameMoment { 300 };
+static constexpr std::chrono::milliseconds simultaneousWindow { 300 };
 /// Minimum run time for a separate crash. A request that ran for less may have been
 /// sent to an endpoint that had already crashed.
-static constexpr std::chrono::milliseconds leastRun { 20 };
+static constexpr std::chrono::milliseconds minRunTime { 20 };
 /// Maximum number of crashes kept for one request.
-static constexpr std::size_t mostCrashes = 16;
+static constexpr std::size_t maxCrashes = 16;
 /// Retention of a crash. Clients retry a request within seconds or a few minutes.
-static constexpr std::chrono::minutes crashKept { 5 };
+static constexpr std::chrono::minutes crashRetention { 5 };
 /// Duration of the first refusal period. Replacing a crashing engine by a fixed one
 /// takes minutes at least; a false suspicion ends after this time.
 static constexpr std::chrono::minutes firstRefusal { 2 };
 /// Each further refusal period is twice as long, up to 32 times the first.
-static constexpr unsigned mostDoublings = 5;
+static constexpr unsigned maxDoublings = 5;
 /// Time after a refusal period during which a single crash starts another one.
 static constexpr std::chrono::minutes probation { 10 };
 /// Time for which an answer to a request is kept and reported.
-static constexpr std::chrono::seconds survivalKept { 10 };
+static constexpr std::chrono::seconds survivalRetention { 10 };
 
 /// Each transfer between entries shifts a reported time by up to some hundred
 /// milliseconds. Smaller differences than this don't count as a change unless they clear
 /// a crash.
-static constexpr std::chrono::seconds tellingError { 1 };
+static constexpr std::chrono::seconds propagationError { 1 };
 
 static Duration refusalTime(unsigned refusals)
 {
-    return firstRefusal * (1 << std::min(refusals - 1, mostDoublings));
+    return firstRefusal * (1 << std::min(refusals - 1, maxDoublings));
 }
 
 static bool isSeparate(const EndpointCrash& crash, TimePoint last)
 {
-    bool hasBegunLater = crash.ranFor >= leastRun && crash.at - crash.ranFor > last;
-    return hasBegunLater || crash.at - last >= sameMoment;
+    bool startedLater = crash.ranFor >= minRunTime && crash.at - crash.ranFor > last;
+    return startedLater || crash.at - last >= simultaneousWindow;
 }
 
 std::size_t separateCrashes(const CrashHistory& history)
@@ -59,16 +59,16 @@
     history.refusedUntil = at + refusalTime(history.refusals);
 }
 
-bool noteCrash(CrashHistory& history, const EndpointCrash& crash)
+bool recordCrash(CrashHistory& history, const EndpointCrash& crash)
 {
     auto isSame = [&](const EndpointCrash& known) { return known.endpoint == crash.endpoint; };
     bool isKnown = std::any_of(history.crashes.begin(), history.crashes.end(), isSame);
-    bool isTooOld = history.crashes.size() >= mostCrashes && crash.at <= history.crashes.front().at;
+    bool isTooOld = history.crashes.size() >= maxCrashes && crash.at <= history.crashes.front().at;
     if (isKnown || isTooOld || crash.at < history.survivedAt)
         return false;
     auto isEarlier = [](const EndpointCrash& a, const EndpointCrash& b) { return a.at < b.at; };
     history.crashes.insert(std::upper_bound(history.crashes.begin(), history.crashes.end(), crash, isEarlier), crash);
-    if (history.crashes.size() > mostCrashes)
+    if (history.crashes.size() > maxCrashes)
         history.crashes.erase(history.crashes.begin());
     bool isProven = history.refusals == 0 ? separateCrashes(history) >= crashesBeforeRefusal : crash.at >= history.refusedUntil;
     if (isProven)
@@ -76,7 +76,7 @@
     return true;
 }
 
-bool noteSurvived(CrashHistory& history, TimePoint at)
+bool recordSurvival(CrashHistory& history, TimePoint at)
 {
     if (at <= history.survivedAt)
         return false;
@@ -95,17 +95,17 @@
 bool mergeHistory(CrashHistory& history, const CrashHistory& other)
 {
     bool clearsCrash = !history.crashes.empty() && history.crashes.front().at < other.survivedAt;
-    bool isNews = other.survivedAt > history.survivedAt + (clearsCrash ? Duration::zero() : Duration(tellingError));
-    bool hasChanged = isNews && noteSurvived(history, other.survivedAt);
-    bool isLater = other.refusals > history.refusals;
+    bool isNewSurvival = other.survivedAt > history.survivedAt + (clearsCrash ? Duration::zero() : Duration(propagationError));
+    bool hasChanged = isNewSurvival && recordSurvival(history, other.survivedAt);
+    bool hasMoreRefusals = other.refusals > history.refusals;
     bool hasSurvivedSince = history.survivedAt != TimePoint {} && (other.crashes.empty() || other.crashes.back().at < history.survivedAt);
-    if (isLater && !hasSurvivedSince) {
+    if (hasMoreRefusals && !hasSurvivedSince) {
         history.refusals = other.refusals;
         history.refusedUntil = std::max(history.refusedUntil, other.refusedUntil);
         hasChanged = true;
     }
     for (const EndpointCrash& crash : other.crashes)
-        hasChanged |= noteCrash(history, crash);
+        hasChanged |= recordCrash(history, crash);
     return hasChanged;
 }
 
@@ -118,13 +118,13 @@
     return hasAny;
 }
 
-bool isForgotten(CrashHistory& history, TimePoint now)
+bool pruneHistory(CrashHistory& history, TimePoint now)
 {
     if (history.refusals > 0)
         return now - history.refusedUntil > probation;
-    auto isOld = [now](const EndpointCrash& crash) { return now - crash.at > crashKept; };
+    auto isOld = [now](const EndpointCrash& crash) { return now - crash.at > crashRetention; };
     history.crashes.erase(std::remove_if(history.crashes.begin(), history.crashes.end(), isOld), history.crashes.end());
-    bool hasSurvived = history.survivedAt != TimePoint {} && now - history.survivedAt <= survivalKept;
+    bool hasSurvived = history.survivedAt != TimePoint {} && now - history.survivedAt <= survivalRetention;
     return history.crashes.empty() && !hasSurvived;
 }
 
--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -14,59 +14,59 @@
 /// milliseconds, and the next request to the endpoint shows its state as well.
 static constexpr milliseconds settleTime { 500 };
 /// Length of the turn of one entry. A crash and the notice of it take most of a turn, so
-/// a request is sent only during the first \c turnBegins of it.
+/// a request is sent only during the first \c turnStartWindow of it.
 static constexpr milliseconds turnLength { 250 };
-static constexpr milliseconds turnBegins { 80 };
+static constexpr milliseconds turnStartWindow { 80 };
 /// A request no longer waits after this time without a further crash.
-static constexpr milliseconds heldAfterCrash { 2'000 };
+static constexpr milliseconds waitAfterCrash { 2'000 };
 /// Retention of broken connections that other entries reported. Within this time the
 /// other entry has settled them and sent the result.
-static constexpr milliseconds toldPendingKept { 2'000 };
+static constexpr milliseconds reportedPendingRetention { 2'000 };
 /// Data received within this time after a connection broke may have been sent before.
 static constexpr milliseconds bytesInFlight { 50 };
 /// Maximum number of pending broken connections: all the connections of an entry to a
 /// few endpoints.
-static constexpr std::size_t mostPending = 1'024;
+static constexpr std::size_t maxPending = 1'024;
 /// Maximum number of broken connections and answers returned by one takeUrgent().
-static constexpr std::size_t mostUrgent = 16;
+static constexpr std::size_t maxUrgent = 16;
 /// Maximum number of requests kept, at some 150 bytes each plus 12 for each crash.
-static constexpr std::size_t mostKnown = 4'096;
+static constexpr std::size_t maxKnown = 4'096;
 /// Number of requests evicted at once when the maximum is reached.
-static constexpr std::size_t roomMade = mostKnown / 4;
+static constexpr std::size_t evictionBatch = maxKnown / 4;
 /// Retention of answers. A request that many clients send is answered again within it.
-static constexpr std::chrono::seconds answersKept { 30 };
-static constexpr std::chrono::seconds forgetAnswersEvery { 1 };
-/// Maximum number of answered requests kept: 130 a second during \c answersKept.
-static constexpr std::size_t mostAnswered = 4'096;
+static constexpr std::chrono::seconds answerRetention { 30 };
+static constexpr std::chrono::seconds answerPruneInterval { 1 };
+/// Maximum number of answered requests kept: 130 a second during \c answerRetention.
+static constexpr std::size_t maxAnswered = 4'096;
 /// Number of times that a change is reported, each time to other entries.
-static constexpr unsigned tellNewsTimes = 5;
+static constexpr unsigned reportsPerChange = 5;
 /// Maximum extra time for which an entry refuses a request. Entries accept the request
 /// again at different times, so that the outcome of the first attempt reaches the others.
-static constexpr milliseconds longestDelay { 60'000 };
+static constexpr milliseconds maxRefusalDelay { 60'000 };
 /// Reported refusals that are longer are ignored, since no entry creates them.
-static constexpr std::chrono::hours longestRefusal { 2 };
+static constexpr std::chrono::hours maxReportedRefusal { 2 };
 /// Reported crashes that are older are ignored, since no entry still keeps them.
-static constexpr std::chrono::hours longestAge { 3 };
+static constexpr std::chrono::hours maxReportedAge { 3 };
 
 static milliseconds ageOf(TimePoint at, TimePoint now)
 {
     return std::max(std::chrono::duration_cast<milliseconds>(now - at), milliseconds(0));
 }
 
-static ToldCrash toldCrash(const EndpointCrash& crash, bool isSettled, TimePoint now)
+static ToldCrash makeToldCrash(const EndpointCrash& crash, bool isSettled, TimePoint now)
 {
     return { crash.endpoint, ageOf(crash.at, now), std::chrono::duration_cast<milliseconds>(crash.ranFor), isSettled };
 }
 
 void CrashingRequests::noteBroken(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor)
 {
-    if (m_pending.size() >= mostPending)
+    if (m_pending.size() >= maxPending)
         return;
     m_pending.push_back({ request, endpoint, now, ranFor, std::move(regions) });
-    tellAtOnce({ m_pending.back() });
+    queueUrgent({ m_pending.back() });
 }
 
-void CrashingRequests::tellAtOnce(Urgent urgent)
+void CrashingRequests::queueUrgent(UrgentNotice urgent)
 {
     if (!m_onUrgent)
         return;
@@ -79,17 +79,17 @@
 // endpoint, they are the most likely cause.
 std::vector<CrashNotice> CrashingRequests::takeUrgent(TimePoint now)
 {
-    std::vector<Urgent> urgent = std::exchange(m_urgent, {});
-    std::stable_sort(urgent.begin(), urgent.end(), [](const Urgent& a, const Urgent& b) { return a.broken.ranFor < b.broken.ranFor; });
-    urgent.resize(std::min(urgent.size(), mostUrgent));
+    std::vector<UrgentNotice> urgent = std::exchange(m_urgent, {});
+    std::stable_sort(urgent.begin(), urgent.end(), [](const UrgentNotice& a, const UrgentNotice& b) { return a.broken.ranFor < b.broken.ranFor; });
+    urgent.resize(std::min(urgent.size(), maxUrgent));
     std::vector<CrashNotice> notices;
-    for (Urgent& item : urgent) {
+    for (UrgentNotice& item : urgent) {
         CrashNotice notice;
         notice.request = item.broken.request;
         if (item.isAnswered)
             notice.survivedAgo = ageOf(item.broken.at, now);
         else
-            notice.crashes.push_back(toldCrash({ item.broken.endpoint, item.broken.at, item.broken.ranFor }, false, now));
+            notice.crashes.push_back(makeToldCrash({ item.broken.endpoint, item.broken.at, item.broken.ranFor }, false, now));
         notice.regions = std::move(item.broken.regions);
         notices.push_back(std::move(notice));
     }
@@ -100,25 +100,25 @@
 {
     if (m_pending.empty())
         return;
-    auto isRefuted = [&](const Broken& broken) { return broken.endpoint == endpoint && now - broken.at > bytesInFlight; };
+    auto isRefuted = [&](const BrokenConnection& broken) { return broken.endpoint == endpoint && now - broken.at > bytesInFlight; };
     m_pending.erase(std::remove_if(m_pending.begin(), m_pending.end(), isRefuted), m_pending.end());
 }
 
 void CrashingRequests::noteGone(std::uint32_t endpoint, TimePoint)
 {
-    for (Broken& broken : m_pending)
-        broken.isGone |= broken.endpoint == endpoint;
+    for (BrokenConnection& broken : m_pending)
+        broken.isEndpointUnreachable |= broken.endpoint == endpoint;
 }
 
 void CrashingRequests::dropPending(const RequestFingerprint& request, TimePoint answeredAt)
 {
-    auto isRefuted = [&](const Broken& broken) { return broken.request == request && broken.at <= answeredAt; };
+    auto isRefuted = [&](const BrokenConnection& broken) { return broken.request == request && broken.at <= answeredAt; };
     m_pending.erase(std::remove_if(m_pending.begin(), m_pending.end(), isRefuted), m_pending.end());
 }
 
-void CrashingRequests::noteAnswered(const RequestFingerprint& request, TimePoint at, bool isOwn)
+void CrashingRequests::recordAnswer(const RequestFingerprint& request, TimePoint at, bool isOwn)
 {
-    if (m_answered.size() >= mostAnswered && m_answered.count(request) == 0)
+    if (m_answered.size() >= maxAnswered && m_answered.count(request) == 0)
         return;
     Answered& last = m_answered[request];
     last.at = std::max(last.at, at);
@@ -129,33 +129,33 @@
 {
     std::optional<RecentCrash> crash = recentCrash(request, now);
     dropPending(request, now);
-    noteAnswered(request, now, true);
+    recordAnswer(request, now, true);
     if (crash)
-        tellAtOnce({ { request, 0, now, {}, crash->regions }, true });
+        queueUrgent({ { request, 0, now, {}, crash->regions }, true });
     auto found = m_known.find(request);
     if (found == m_known.end() || found->second.history.crashes.empty())
         return;
-    Known& known = found->second;
+    KnownRequest& known = found->second;
     unsigned refusals = known.history.refusals;
-    if (catkinwing::noteSurvived(known.history, now))
-        noteChange(request, known, refusals, now);
+    if (catkinwing::recordSurvival(known.history, now))
+        recordChange(request, known, refusals, now);
 }
 
 // The delay depends on the seed, so that entries accept the request again at different
 // times.
-Duration CrashingRequests::delayOf(const RequestFingerprint& request) const
+Duration CrashingRequests::refusalDelay(const RequestFingerprint& request) const
 {
-    return milliseconds(stableHash(request, m_seed) % static_cast<std::uint64_t>(longestDelay.count()));
+    return milliseconds(stableHash(request, m_seed) % static_cast<std::uint64_t>(maxRefusalDelay.count()));
 }
 
 // Returns whether the request would be refused if all its pending connections were
 // crashes.
-bool CrashingRequests::mayBeRefusedSoon(const RequestFingerprint& request, CrashHistory history) const
+bool CrashingRequests::wouldBeRefused(const RequestFingerprint& request, CrashHistory history) const
 {
     unsigned refusals = history.refusals;
-    for (const Broken& broken : m_pending) {
-        if (broken.request == request && !isExplained(request, broken.endpoint))
-            noteCrash(history, { broken.endpoint, broken.at, broken.ranFor });
+    for (const BrokenConnection& broken : m_pending) {
+        if (broken.request == request && !hasOtherCause(request, broken.endpoint))
+            recordCrash(history, { broken.endpoint, broken.at, broken.ranFor });
     }
     return history.refusals > refusals;
 }
@@ -165,27 +165,27 @@
     auto found = m_known.find(request);
     CrashHistory history = found == m_known.end() ? CrashHistory() : found->second.history;
     if (history.refusals > 0) {
-        Duration left = history.refusedUntil + delayOf(request) - now;
+        Duration left = history.refusedUntil + refusalDelay(request) - now;
         if (left > Duration::zero())
             return left;
     }
-    return mayBeRefusedSoon(request, std::move(history)) ? std::optional<Duration>(settleTime) : std::nullopt;
+    return wouldBeRefused(request, std::move(history)) ? std::optional<Duration>(settleTime) : std::nullopt;
 }
 
 std::optional<CrashingRequests::RecentCrash> CrashingRequests::recentCrash(const RequestFingerprint& request, TimePoint now) const
 {
     std::optional<RecentCrash> last;
-    auto take = [&](TimePoint at, bool isOwn, const std::vector<std::uint32_t>& regions) {
-        if (now - at <= heldAfterCrash)
+    auto consider = [&](TimePoint at, bool isOwn, const std::vector<std::uint32_t>& regions) {
+        if (now - at <= waitAfterCrash)
             last = { last ? std::max(last->at, at) : at, isOwn && !last, regions };
     };
-    for (const Broken& broken : m_pending) {
-        if (broken.request == request && !isExplained(request, broken.endpoint))
-            take(broken.at, !broken.isTold, broken.regions);
+    for (const BrokenConnection& broken : m_pending) {
+        if (broken.request == request && !hasOtherCause(request, broken.endpoint))
+            consider(broken.at, !broken.isFromOtherEntry, broken.regions);
     }
     auto known = m_known.find(request);
     if (known != m_known.end() && !known->second.history.crashes.empty())
-        take(known->second.history.crashes.back().at, !isSuspect(known->second), known->second.regions);
+        consider(known->second.history.crashes.back().at, !isSuspect(known->second), known->second.regions);
     return last;
 }
 
@@ -203,26 +203,26 @@
     bool isUnderWay = tried != m_tried.end() && tried->second > crash.at;
     TimePoint earliest = isUnderWay ? std::max(now, tried->second + turnLength) : now;
     std::int64_t turn = (earliest - crash.at) / turnLength;
-    bool mayBegin = earliest - (crash.at + turn * turnLength) <= turnBegins;
+    bool mayBegin = earliest - (crash.at + turn * turnLength) <= turnStartWindow;
     turn += mayBegin ? 0 : 1;
     auto entries = static_cast<std::int64_t>(order.entries);
-    std::int64_t untilOwn = ((static_cast<std::int64_t>(order.rank) - turn) % entries + entries) % entries;
-    return std::max(earliest, crash.at + (turn + untilOwn) * turnLength);
+    std::int64_t turnsUntilOwn = ((static_cast<std::int64_t>(order.rank) - turn) % entries + entries) % entries;
+    return std::max(earliest, crash.at + (turn + turnsUntilOwn) * turnLength);
 }
 
-bool CrashingRequests::isSuspect(const Known& known)
+bool CrashingRequests::isSuspect(const KnownRequest& known)
 {
     return known.history.refusals > 0 || separateCrashes(known.history) > 1 || known.history.survivedAt != TimePoint {};
 }
 
-bool CrashingRequests::isExplained(const RequestFingerprint& request, std::uint32_t endpoint) const
+bool CrashingRequests::hasOtherCause(const RequestFingerprint& request, std::uint32_t endpoint) const
 {
     auto cause = m_causes.find(endpoint);
     return cause != m_causes.end() && cause->second != request;
 }
 
 // Requests that ran on the endpoints that a refused request crashed are not the cause.
-void CrashingRequests::explainCrashes(const RequestFingerprint& request, const CrashHistory& history)
+void CrashingRequests::attributeCrashes(const RequestFingerprint& request, const CrashHistory& history)
 {
     for (const EndpointCrash& crash : history.crashes) {
         if (!m_causes.emplace(crash.endpoint, request).second)
@@ -234,11 +234,11 @@
     }
 }
 
-void CrashingRequests::noteChange(const RequestFingerprint& request, Known& known, unsigned refusalsBefore, TimePoint now)
+void CrashingRequests::recordChange(const RequestFingerprint& request, KnownRequest& known, unsigned refusalsBefore, TimePoint now)
 {
     const CrashHistory& history = known.history;
     if (isSuspect(known))
-        known.timesToTell = tellNewsTimes;
+        known.reportsLeft = reportsPerChange;
     if (history.refusals > refusalsBefore) {
         logChange(LogLevel::Warning, "request_refused_for_crashes",
             { { "fingerprint", request.toHex() }, { "crashes", history.crashes.size() }, { "last_crash_ms_ago", history.crashes.empty() ? 0 : ageOf(history.crashes.back().at, now).count() },
@@ -247,25 +247,25 @@
         logChange(LogLevel::Info, "request_survived", { { "fingerprint", request.toHex() }, { "refusals", refusalsBefore } });
     }
     if (history.refusals > 0)
-        explainCrashes(request, history);
+        attributeCrashes(request, history);
 }
 
 // Evicts the requests with the earliest last crash or end of refusal, so that refused
 // requests stay longest.
-void CrashingRequests::makeRoom()
+void CrashingRequests::evictOldest()
 {
     std::vector<std::pair<TimePoint, RequestFingerprint>> byTime;
     for (const auto& [request, known] : m_known)
         byTime.emplace_back(known.history.crashes.empty() ? TimePoint {} : std::max(known.history.crashes.back().at, known.history.refusedUntil), request);
-    std::nth_element(byTime.begin(), byTime.begin() + roomMade, byTime.end());
-    for (std::size_t i = 0; i < roomMade; ++i)
+    std::nth_element(byTime.begin(), byTime.begin() + evictionBatch, byTime.end());
+    for (std::size_t i = 0; i < evictionBatch; ++i)
         m_known.erase(byTime[i].second);
 }
 
-CrashingRequests::Known& CrashingRequests::obtain(const RequestFingerprint& request)
+CrashingRequests::KnownRequest& CrashingRequests::findOrCreate(const RequestFingerprint& request)
 {
-    if (m_known.size() >= mostKnown && m_known.count(request) == 0)
-        makeRoom();
+    if (m_known.size() >= maxKnown && m_known.count(request) == 0)
+        evictOldest();
     auto [known, isNew] = m_known.try_emplace(request);
     auto answered = m_answered.find(request);
     if (isNew && answered != m_answered.end())
@@ -273,51 +273,51 @@
     return known->second;
 }
 
-void CrashingRequests::settle(const Broken& broken, TimePoint now)
+void CrashingRequests::settle(const BrokenConnection& broken, TimePoint now)
 {
-    if (isExplained(broken.request, broken.endpoint))
+    if (hasOtherCause(broken.request, broken.endpoint))
         return;
-    Known& known = obtain(broken.request);
+    KnownRequest& known = findOrCreate(broken.request);
     known.regions = broken.regions;
     unsigned refusals = known.history.refusals;
     EndpointCrash crash { broken.endpoint, broken.at, broken.ranFor };
-    if (!noteCrash(known.history, crash))
+    if (!recordCrash(known.history, crash))
         return;
     CrashNotice notice;
     notice.request = broken.request;
-    notice.crashes.push_back(toldCrash(crash, true, now));
+    notice.crashes.push_back(makeToldCrash(crash, true, now));
     if (known.history.survivedAt != TimePoint {})
         notice.survivedAgo = ageOf(known.history.survivedAt, now);
     notice.regions = broken.regions;
     m_settled.push_back(std::move(notice));
-    noteChange(broken.request, known, refusals, now);
+    recordChange(broken.request, known, refusals, now);
 }
 
-void CrashingRequests::forgetAnswers(TimePoint now)
+void CrashingRequests::pruneAnswers(TimePoint now)
 {
-    if (now - m_answersForgottenAt < forgetAnswersEvery)
+    if (now - m_answersPrunedAt < answerPruneInterval)
         return;
-    m_answersForgottenAt = now;
-    absl::erase_if(m_answered, [now](const auto& item) { return now - item.second.at > answersKept; });
-    absl::erase_if(m_tried, [now](const auto& item) { return now - item.second > heldAfterCrash; });
+    m_answersPrunedAt = now;
+    absl::erase_if(m_answered, [now](const auto& item) { return now - item.second.at > answerRetention; });
+    absl::erase_if(m_tried, [now](const auto& item) { return now - item.second > waitAfterCrash; });
 }
 
 void CrashingRequests::houseKeep(TimePoint now)
 {
-    forgetAnswers(now);
+    pruneAnswers(now);
     if (isEmpty())
         return;
-    auto isOpen = [now](const Broken& broken) {
-        return broken.isTold ? now - broken.at < toldPendingKept : !broken.isGone && now - broken.at < settleTime;
+    auto isOpen = [now](const BrokenConnection& broken) {
+        return broken.isFromOtherEntry ? now - broken.at < reportedPendingRetention : !broken.isEndpointUnreachable && now - broken.at < settleTime;
     };
     auto settled = std::stable_partition(m_pending.begin(), m_pending.end(), isOpen);
-    std::vector<Broken> ended(std::make_move_iterator(settled), std::make_move_iterator(m_pending.end()));
+    std::vector<BrokenConnection> ended(std::make_move_iterator(settled), std::make_move_iterator(m_pending.end()));
     m_pending.erase(settled, m_pending.end());
-    for (const Broken& broken : ended) {
-        if (!broken.isTold)
+    for (const BrokenConnection& broken : ended) {
+        if (!broken.isFromOtherEntry)
             settle(broken, now);
     }
-    absl::erase_if(m_known, [now](auto& item) { return isForgotten(item.second.history, now); });
+    absl::erase_if(m_known, [now](auto& item) { return pruneHistory(item.second.history, now); });
     absl::erase_if(m_causes, [this](const auto& cause) {
         auto known = m_known.find(cause.second);
         return known == m_known.end() || known->second.history.refusals == 0;
@@ -327,56 +327,56 @@
 // An answer since the break shows that the request caused no crash. An earlier one shows
 // that the request is most likely not the cause. Answers that passed through this entry
 // are reported, so that other entries needn't wait either.
-void CrashingRequests::takePending(const CrashNotice& notice, const ToldCrash& crash, TimePoint now)
+void CrashingRequests::recordReportedConnection(const CrashNotice& notice, const ToldCrash& crash, TimePoint now)
 {
     TimePoint at = now - crash.age;
     auto answered = m_answered.find(notice.request);
     bool isAnswered = answered != m_answered.end();
     if (isAnswered && answered->second.isOwn)
-        tellAtOnce({ { notice.request, 0, answered->second.at, {}, notice.regions }, true });
+        queueUrgent({ { notice.request, 0, answered->second.at, {}, notice.regions }, true });
     bool isRefuted = isAnswered && answered->second.at >= at;
-    if (!isRefuted && m_pending.size() < mostPending)
+    if (!isRefuted && m_pending.size() < maxPending)
         m_pending.push_back({ notice.request, crash.endpoint, at, crash.ranFor, notice.regions, false, true });
 }
 
 void CrashingRequests::take(const CrashNotice& notice, TimePoint now)
 {
-    CrashHistory told;
+    CrashHistory reported;
     for (const ToldCrash& crash : notice.crashes) {
-        if (crash.age >= longestAge || isExplained(notice.request, crash.endpoint))
+        if (crash.age >= maxReportedAge || hasOtherCause(notice.request, crash.endpoint))
             continue;
         if (crash.isSettled)
-            told.crashes.push_back({ crash.endpoint, now - crash.age, crash.ranFor });
+            reported.crashes.push_back({ crash.endpoint, now - crash.age, crash.ranFor });
         else
-            takePending(notice, crash, now);
+            recordReportedConnection(notice, crash, now);
     }
-    if (notice.survivedAgo && *notice.survivedAgo < longestAge) {
-        told.survivedAt = now - *notice.survivedAgo;
-        dropPending(notice.request, told.survivedAt);
-        noteAnswered(notice.request, told.survivedAt, false);
+    if (notice.survivedAgo && *notice.survivedAgo < maxReportedAge) {
+        reported.survivedAt = now - *notice.survivedAgo;
+        dropPending(notice.request, reported.survivedAt);
+        recordAnswer(notice.request, reported.survivedAt, false);
     }
-    if (notice.refusedFor < longestRefusal) {
-        told.refusals = notice.refusals;
-        told.refusedUntil = now + notice.refusedFor;
+    if (notice.refusedFor < maxReportedRefusal) {
+        reported.refusals = notice.refusals;
+        reported.refusedUntil = now + notice.refusedFor;
     }
-    bool saysNothing = told.crashes.empty() && told.refusals == 0;
-    if (saysNothing && m_known.count(notice.request) == 0)
+    bool isEmptyNotice = reported.crashes.empty() && reported.refusals == 0;
+    if (isEmptyNotice && m_known.count(notice.request) == 0)
         return;
-    Known& known = obtain(notice.request);
+    KnownRequest& known = findOrCreate(notice.request);
     known.regions = notice.regions;
     unsigned refusals = known.history.refusals;
-    if (mergeHistory(known.history, told))
-        noteChange(notice.request, known, refusals, now);
+    if (mergeHistory(known.history, reported))
+        recordChange(notice.request, known, refusals, now);
 }
 
-CrashNotice CrashingRequests::noticeOf(const RequestFingerprint& request, const Known& known, TimePoint now)
+CrashNotice CrashingRequests::makeNotice(const RequestFingerprint& request, const KnownRequest& known, TimePoint now)
 {
     const CrashHistory& history = known.history;
     CrashNotice notice;
     notice.request = request;
     std::size_t first = history.crashes.size() - std::min(history.crashes.size(), mostToldCrashes);
     for (std::size_t i = first; i < history.crashes.size(); ++i)
-        notice.crashes.push_back(toldCrash(history.crashes[i], true, now));
+        notice.crashes.push_back(makeToldCrash(history.crashes[i], true, now));
     if (history.survivedAt != TimePoint {})
         notice.survivedAgo = ageOf(history.survivedAt, now);
     notice.refusedFor = ageOf(now, history.refusedUntil);
@@ -387,14 +387,14 @@
 
 std::vector<CrashNotice> CrashingRequests::takeNews(TimePoint now)
 {
-    std::vector<CrashNotice> news;
+    std::vector<CrashNotice> notices;
     for (auto& [request, known] : m_known) {
-        if (known.timesToTell == 0)
+        if (known.reportsLeft == 0)
             continue;
-        --known.timesToTell;
-        news.push_back(noticeOf(request, known, now));
+        --known.reportsLeft;
+        notices.push_back(makeNotice(request, known, now));
     }
-    return news;
+    return notices;
 }
 
 std::vector<CrashNotice> CrashingRequests::suspects(TimePoint now) const
@@ -402,7 +402,7 @@
     std::vector<CrashNotice> notices;
     for (const auto& [request, known] : m_known) {
         if (isSuspect(known))
-            notices.push_back(noticeOf(request, known, now));
+            notices.push_back(makeNotice(request, known, now));
     }
     return notices;
 }
--- a/lib/Membership/MemberTable.cpp
+++ b/lib/Membership/MemberTable.cpp
@@ -61,8 +61,8 @@
 
 std::uint32_t MemberTable::digest(const EntryRef& self) const
 {
-    // A sum doesn't depend on the order of the entries, in which each entry has another
-    // position for itself.
+    // The hash is a sum, so that it doesn't depend on the order of the entries: this entry
+    // isn't in its own table, but in those of the others.
     std::uint64_t sum = hashOf(self);
     for (const auto& [name, member] : m_members) {
         if (member.state != MemberState::Dead)
--- a/lib/Membership/PeerChannel.cpp
+++ b/lib/Membership/PeerChannel.cpp
@@ -24,32 +24,32 @@
     return found == table.end() ? 0 : found->second;
 }
 
-static std::vector<Change> changesOf(const std::vector<NamedCount>& current, const CountTable& told)
+static std::vector<Change> changesOf(const std::vector<NamedCount>& current, const CountTable& acknowledged)
 {
     std::vector<Change> changes;
     std::size_t found = 0;
     for (const NamedCount& item : current) {
-        auto known = told.find(item.name);
-        found += known == told.end() ? 0 : 1;
-        std::uint64_t before = known == told.end() ? 0 : known->second;
+        auto known = acknowledged.find(item.name);
+        found += known == acknowledged.end() ? 0 : 1;
+        std::uint64_t before = known == acknowledged.end() ? 0 : known->second;
         if (item.count != before)
             changes.push_back({ &item.name, item.count, std::max(item.count, before) - std::min(item.count, before) });
     }
-    if (found == told.size())
+    if (found == acknowledged.size())
         return changes;
     absl::flat_hash_set<absl::string_view> names;
     for (const NamedCount& item : current)
         names.insert(item.name);
-    for (const auto& [name, count] : told) {
+    for (const auto& [name, count] : acknowledged) {
         if (!names.contains(name))
             changes.push_back({ &name, 0, count });
     }
     return changes;
 }
 
-TopChanges topChanges(const std::vector<NamedCount>& current, const CountTable& told, std::size_t limit)
+TopChanges topChanges(const std::vector<NamedCount>& current, const CountTable& acknowledged, std::size_t limit)
 {
-    std::vector<Change> changes = changesOf(current, told);
+    std::vector<Change> changes = changesOf(current, acknowledged);
     std::size_t count = std::min(limit, changes.size());
     auto isLarger = [](const Change& a, const Change& b) { return a.size != b.size ? a.size > b.size : *a.name < *b.name; };
     std::partial_sort(changes.begin(), changes.begin() + static_cast<std::ptrdiff_t>(count), changes.end(), isLarger);
@@ -61,9 +61,9 @@
     return top;
 }
 
-static void noteTold(const std::vector<NamedCount>& told, CountTable& table)
+static void applyAcknowledged(const std::vector<NamedCount>& acknowledged, CountTable& table)
 {
-    for (const NamedCount& item : told) {
+    for (const NamedCount& item : acknowledged) {
         if (item.count == 0)
             table.erase(item.name);
         else
@@ -85,10 +85,10 @@
         return std::nullopt;
     m_isKnown = true;
     m_hashes = found->hashes;
-    noteTold(found->served, m_served);
-    noteTold(found->load, m_load);
-    noteTold(found->digests, m_digests);
-    noteTold(found->rosters, m_rosters);
+    applyAcknowledged(found->served, m_served);
+    applyAcknowledged(found->load, m_load);
+    applyAcknowledged(found->digests, m_digests);
+    applyAcknowledged(found->rosters, m_rosters);
     m_leaving.insert(found->leaving.begin(), found->leaving.end());
     TimePoint sentAt = found->sentAt;
     // Only older messages are dropped, since this one may be acknowledged again.
--- a/lib/Membership/PeerChannel.h
+++ b/lib/Membership/PeerChannel.h
@@ -23,9 +23,9 @@
     bool hasMore { false };
 };
 
-/// Returns the \p limit items of \p current that differ most from \p told, the counts
-/// already sent. A name that only \p told contains counts as zero in \p current.
-TopChanges topChanges(const std::vector<NamedCount>& current, const CountTable& told, std::size_t limit);
+/// Returns the \p limit items of \p current that differ most from \p acknowledged, the counts
+/// already sent. A name that only \p acknowledged contains counts as zero in \p current.
+TopChanges topChanges(const std::vector<NamedCount>& current, const CountTable& acknowledged, std::size_t limit);
 
 /// The content of one message to the peer.
 struct SentContent {
--- a/lib/Membership/ShareDivision.cpp
+++ b/lib/Membership/ShareDivision.cpp
@@ -7,13 +7,13 @@
 
 /// Fraction of the burst allowance that is distributed. The remainder covers entries that
 /// temporarily have different lists of entries.
-static constexpr double sharedPart = 0.6;
+static constexpr double distributedFraction = 0.6;
 
 RateShare divideRate(const std::vector<std::string>& entries, absl::string_view self, absl::string_view subject, const SharedRate& rate)
 {
     // Within any second each holder sends at most its share of the rate plus one request.
-    double room = (rate.perSecond * (rate.ratio - 1) + rate.slack) * sharedPart;
-    auto holders = static_cast<std::size_t>(std::max(room, 1.0));
+    double burstAllowance = (rate.perSecond * (rate.ratio - 1) + rate.slack) * distributedFraction;
+    auto holders = static_cast<std::size_t>(std::max(burstAllowance, 1.0));
     std::uint64_t ownScore = stableHash(self, stableHash(subject));
     std::size_t before = 0;
     bool isMember = false;
--- a/unittests/Membership/CrashingRequestsTest.cpp
+++ b/unittests/Membership/CrashingRequestsTest.cpp
@@ -94,16 +94,16 @@
     for (CrashingRequests& known : requests)
         known.take(brokenElsewhere(1, 7), now);
     for (TimePoint time = now; time < now + 1500ms; time += 10ms) {
-        int maySend = 0;
+        int sendingEntries = 0;
         for (std::size_t rank = 0; rank < entries; ++rank) {
             std::optional<CrashingRequests::RecentCrash> crash = requests[rank].crashToAwait(fingerprint(1), time);
             REQUIRE(crash);
             bool isTurn = requests[rank].turnOf(fingerprint(1), *crash, { rank, entries }, time) <= time;
             if (isTurn)
                 requests[rank].noteTried(fingerprint(1), time);
-            maySend += isTurn ? 1 : 0;
+            sendingEntries += isTurn ? 1 : 0;
         }
-        CHECK(maySend <= 1);
+        CHECK(sendingEntries <= 1);
     }
     CHECK_FALSE(requests[0].crashToAwait(fingerprint(2), now));
     CHECK_FALSE(requests[0].crashToAwait(fingerprint(1), now + 5s));
@@ -117,9 +117,9 @@
     requests.noteBroken(fingerprint(1), 7, {}, now, 80ms);
     REQUIRE(requests.crashToAwait(fingerprint(1), now));
     CHECK(requests.crashToAwait(fingerprint(1), now)->isOnlyOwn);
-    CrashingRequests told = requests;
-    told.take(brokenElsewhere(1, 8), now);
-    CHECK_FALSE(told.crashToAwait(fingerprint(1), now)->isOnlyOwn);
+    CrashingRequests reported = requests;
+    reported.take(brokenElsewhere(1, 8), now);
+    CHECK_FALSE(reported.crashToAwait(fingerprint(1), now)->isOnlyOwn);
     requests.noteBroken(fingerprint(1), 8, {}, now + 100ms, 80ms);
     CHECK_FALSE(requests.crashToAwait(fingerprint(1), now + 100ms)->isOnlyOwn);
 }
@@ -134,14 +134,14 @@
     requests.take(brokenElsewhere(1, 7), now + 2s);
     CHECK_FALSE(requests.crashToAwait(fingerprint(1), now + 2s));
     REQUIRE(isUrgent);
-    std::vector<CrashNotice> told = requests.takeUrgent(now + 2s);
-    REQUIRE(told.size() == 1);
-    CHECK(told[0].survivedAgo == 2s);
+    std::vector<CrashNotice> reported = requests.takeUrgent(now + 2s);
+    REQUIRE(reported.size() == 1);
+    CHECK(reported[0].survivedAgo == 2s);
 
     CrashingRequests other;
     other.take(brokenElsewhere(1, 7), now + 2s);
     REQUIRE(other.crashToAwait(fingerprint(1), now + 2s));
-    other.take(told[0], now + 2s);
+    other.take(reported[0], now + 2s);
     CHECK_FALSE(other.crashToAwait(fingerprint(1), now + 2s));
 }
 
@@ -152,11 +152,11 @@
     TimePoint now { 100s };
     for (std::uint32_t i = 0; i < 40; ++i)
         requests.noteBroken(fingerprint(i), 7, {}, now, i == 30 ? 80ms : 2s);
-    std::vector<CrashNotice> told = requests.takeUrgent(now + 2ms);
-    REQUIRE(told.size() < 40);
-    CHECK(told[0].request == fingerprint(30));
-    CHECK(told[0].crashes[0].ranFor == 80ms);
-    CHECK_FALSE(told[0].crashes[0].isSettled);
+    std::vector<CrashNotice> reported = requests.takeUrgent(now + 2ms);
+    REQUIRE(reported.size() < 40);
+    CHECK(reported[0].request == fingerprint(30));
+    CHECK(reported[0].crashes[0].ranFor == 80ms);
+    CHECK_FALSE(reported[0].crashes[0].isSettled);
 }
 
 TEST_CASE("crashes that a refused request caused don't count for other requests")
--- a/unittests/Membership/EntryGroupsTest.cpp
+++ b/unittests/Membership/EntryGroupsTest.cpp
@@ -43,11 +43,11 @@
     REQUIRE(before.size() == reversed.size());
     for (std::size_t i = 0; i < before.size(); ++i)
         CHECK(before[i].collectors == reversed[i].collectors);
-    for (std::size_t gone = 0; gone < entries.size(); ++gone) {
-        std::vector<GroupedEntry> fewer = entries;
-        std::string key = fewer[gone].key;
-        fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(gone));
-        std::vector<EntryGroup> after = divideIntoGroups(fewer);
+    for (std::size_t removed = 0; removed < entries.size(); ++removed) {
+        std::vector<GroupedEntry> remaining = entries;
+        std::string key = remaining[removed].key;
+        remaining.erase(remaining.begin() + static_cast<std::ptrdiff_t>(removed));
+        std::vector<EntryGroup> after = divideIntoGroups(remaining);
         for (std::size_t i = 0; i < before.size(); ++i) {
             for (const std::string& collector : before[i].collectors) {
                 bool isStill = std::count(after[i].collectors.begin(), after[i].collectors.end(), collector) > 0;
--- a/unittests/Membership/PeerChannelTest.cpp
+++ b/unittests/Membership/PeerChannelTest.cpp
@@ -17,16 +17,16 @@
 
 TEST_CASE("the largest changes are returned first, and removed names count as zero")
 {
-    CountTable told { { "same", 5 }, { "grown", 10 }, { "gone", 30 } };
+    CountTable acknowledged { { "same", 5 }, { "grown", 10 }, { "gone", 30 } };
     std::vector<NamedCount> current { { "same", 5 }, { "grown", 30 }, { "new", 7 } };
-    TopChanges top = topChanges(current, told, 2);
+    TopChanges top = topChanges(current, acknowledged, 2);
     REQUIRE(top.items.size() == 2);
     CHECK(top.items[0].name == "gone");
     CHECK(top.items[0].count == 0);
     CHECK(top.items[1].name == "grown");
     CHECK(top.hasMore);
-    CHECK(topChanges(current, told, 3).items.size() == 3);
-    CHECK_FALSE(topChanges(current, told, 3).hasMore);
+    CHECK(topChanges(current, acknowledged, 3).items.size() == 3);
+    CHECK_FALSE(topChanges(current, acknowledged, 3).hasMore);
 }
 
 TEST_CASE("only acknowledged content counts as known to the peer")
--- a/unittests/Membership/RelayChoiceTest.cpp
+++ b/unittests/Membership/RelayChoiceTest.cpp
@@ -29,9 +29,9 @@
     std::vector<std::string> members = nineMembers();
     for (int zone = 0; zone < 59; ++zone) {
         std::vector<std::string> before = rankRelays(members, "a", absl::StrCat("zone-", zone));
-        std::vector<std::string> fewer = before;
-        fewer.erase(fewer.begin() + 4);
-        CHECK(rankRelays(fewer, "a", absl::StrCat("zone-", zone)).front() == before.front());
+        std::vector<std::string> remaining = before;
+        remaining.erase(remaining.begin() + 4);
+        CHECK(rankRelays(remaining, "a", absl::StrCat("zone-", zone)).front() == before.front());
     }
 }
 
--- a/unittests/Membership/ShareDivisionTest.cpp
+++ b/unittests/Membership/ShareDivisionTest.cpp
@@ -18,16 +18,16 @@
         for (double perSecond : { 0.5, 2.0, 5.4, 9.7, 40.0 }) {
             SharedRate rate { perSecond, 1.5, 3 };
             std::vector<std::string> names = entries(count);
-            double atOnce = 0;
-            double whole = 0;
+            double maxRequests = 0;
+            double totalRate = 0;
             for (const std::string& name : names) {
                 RateShare share = divideRate(names, name, "endpoint", rate);
-                atOnce += share.burst + share.perSecond;
-                whole += share.perSecond;
+                maxRequests += share.burst + share.perSecond;
+                totalRate += share.perSecond;
             }
             CAPTURE(count, perSecond);
-            CHECK(atOnce <= perSecond * 1.5 + 3);
-            CHECK(whole == Approx(perSecond));
+            CHECK(maxRequests <= perSecond * 1.5 + 3);
+            CHECK(totalRate == Approx(perSecond));
         }
     }
 }
@@ -37,15 +37,15 @@
     SharedRate rate { 5.4, 1.5, 3 };
     for (std::size_t count : { 5u, 12u, 30u }) {
         std::vector<std::string> all = entries(count);
-        for (std::size_t gone = 0; gone < count; ++gone) {
-            std::vector<std::string> fewer = all;
-            fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(gone));
-            double atOnce = 0;
+        for (std::size_t removed = 0; removed < count; ++removed) {
+            std::vector<std::string> remaining = all;
+            remaining.erase(remaining.begin() + static_cast<std::ptrdiff_t>(removed));
+            double maxRequests = 0;
             for (std::size_t i = 0; i < count; ++i) {
-                RateShare share = divideRate(i % 2 ? all : fewer, all[i], "endpoint", rate);
-                atOnce += share.burst + share.perSecond;
+                RateShare share = divideRate(i % 2 ? all : remaining, all[i], "endpoint", rate);
+                maxRequests += share.burst + share.perSecond;
             }
-            CHECK(atOnce <= 5.4 * 1.5 + 3 + 0.2);
+            CHECK(maxRequests <= 5.4 * 1.5 + 3 + 0.2);
         }
     }
 }
@@ -71,10 +71,10 @@
     std::vector<std::string> names = entries(9);
     std::string delegate = chooseDelegate(names, "duty");
     CHECK_FALSE(delegate.empty());
-    for (const std::string& gone : names) {
-        std::vector<std::string> fewer = names;
-        fewer.erase(std::find(fewer.begin(), fewer.end(), gone));
-        CHECK((chooseDelegate(fewer, "duty") == delegate) == (gone != delegate));
+    for (const std::string& removed : names) {
+        std::vector<std::string> remaining = names;
+        remaining.erase(std::find(remaining.begin(), remaining.end(), removed));
+        CHECK((chooseDelegate(remaining, "duty") == delegate) == (removed != delegate));
     }
     CHECK(chooseDelegate({}, "duty").empty());
 }
