--- a/unittests/Membership/RelayChoiceTest.cpp
+++ b/unittests/Membership/RelayChoiceTest.cpp
@@ -24,18 +24,18 @@
     CHECK(rankRelays(members, "a", "b") == ranked);
 }
 
-TEST_CASE("a member that goes moves only its own zones")
+TEST_CASE("removing a member reassigns only its own zones")
 {
     std::vector<std::string> members = nineMembers();
     for (int zone = 0; zone < 59; ++zone) {
         std::vector<std::string> before = rankRelays(members, "a", absl::StrCat("zone-", zone));
-        std::vector<std::string> fewer = before;
-        fewer.erase(fewer.begin() + 4);
-        CHECK(rankRelays(fewer, "a", absl::StrCat("zone-", zone)).front() == before.front());
+        std::vector<std::string> remaining = before;
+        remaining.erase(remaining.begin() + 4);
+        CHECK(rankRelays(remaining, "a", absl::StrCat("zone-", zone)).front() == before.front());
     }
 }
 
-TEST_CASE("zones are shared out over the members")
+TEST_CASE("zones are distributed over the members")
 {
     std::map<std::string, int> zonesOf;
     for (int zone = 0; zone < 590; ++zone)
