--- a/include/catkinwing/Ingress/CrashExchange.h
+++ b/include/catkinwing/Ingress/CrashExchange.h
@@ -10,9 +10,9 @@
 namespace catkinwing {
 
 /// Distributes crash notices, which name requests that crash endpoints, among the
-/// entries of all regions. Each crash is sent to the few entries that count the crashes
-/// of its request. Once a request has more than one crash, the entries gossip its
-/// notice until all of them have it. Sends nothing while no endpoint crashes; the cost
+/// entries of all regions. A notice of each crash is sent to the few entries that count
+/// the crashes of its request. Once a request has more than one crash, the entries gossip
+/// its notice until all of them have received the notice. Sends nothing while no endpoint crashes; the cost
 /// of one entry doesn't grow with the number of entries.
 class CrashExchange {
 public:
@@ -21,14 +21,16 @@
 
     /// Returns the datagrams to send now. Must be called ten times a second.
     std::vector<OutgoingDatagram> tick(TimePoint now);
-    /// Returns the datagrams to send without waiting for the next tick: connections that
-    /// have just broken, and answers which show that the request didn't crash the endpoint.
+    /// Returns the datagrams to send without waiting for the next tick. They report
+    /// connections that have just broken, and answers which show that a request didn't
+    /// crash its endpoint.
     std::vector<OutgoingDatagram> tellUrgent(TimePoint now);
-    /// Records the notices of \p report. Ignores it if \p from isn't a registered entry.
+    /// Records the notices of \p report. Ignores the report if \p from isn't a registered entry.
     void take(const SocketAddress& from, const CrashReport& report, TimePoint now);
 
 private:
-    /// A settled crash that still has to be sent to the entries that count it.
+    /// Notice of a settled crash that still has to be sent to the entries that count the
+    /// crashes of its request.
     struct SettledNotice {
         CrashNotice notice;
         TimePoint at {};
--- a/include/catkinwing/Ingress/IngressParts.h
+++ b/include/catkinwing/Ingress/IngressParts.h
@@ -18,17 +18,19 @@
 
 namespace catkinwing {
 
-/// Limits of retries, over all entries together.
+/// Limits of the retries of a service. They apply to all entries together.
 struct RetryLimits {
-    /// Retries that each request adds to the budget.
+    /// Number of retries that each request adds to the retry budget.
     double ratio { 0.2 };
-    /// Retries that are allowed beyond the ratio in any window.
+    /// Number of retries that are allowed in any window in addition to those by the ratio.
     double allowance { 50 };
+    /// Length of the window over which requests and retries are counted.
     Duration window { std::chrono::seconds(10) };
 };
 
-/// The planned stop of an entry.
+/// Times of the planned stop of an entry.
 struct PlannedStop {
+    /// When the entry began to stop.
     TimePoint began;
     /// Requests that are unanswered at this time are aborted.
     TimePoint endsBy;
@@ -53,21 +55,24 @@
     absl::flat_hash_map<std::string, RegionPressure> regionAcceptances;
     /// Load reported by other regions.
     RegionOutlooks outlooks;
-    /// Number of events in a stream, by route.
+    /// Estimates of the number of events in a stream, by route.
     absl::flat_hash_map<std::string, StreamLength> streamLengths;
-    /// Retry-after times given to refused clients, by service.
+    /// Schedules that assign retry-after times to refused requests, by service.
     absl::flat_hash_map<std::string, ReturnSchedule> retryAfterSchedules;
     /// The configuration in force; null until the first one is received.
     std::shared_ptr<const RouteTable> routes;
     /// Set when the entry begins to stop.
     std::optional<PlannedStop> stop;
+    /// Number of requests that have no final answer yet.
     std::size_t openRequests { 0 };
     /// Number of the latest attempt of any request; attempts are numbered from 1.
     std::uint64_t lastAttempt { 0 };
+    /// Requests that crash endpoints or are suspected to.
     CrashingRequests crashing {};
     /// When this entry's process started.
     TimePoint startedAt {};
 
+    /// Returns the retry budget of \p service after updating its allowance.
     RetryWindow& retryBudgetOf(const std::string& service);
 };
 
--- a/include/catkinwing/Ingress/LoadExchange.h
+++ b/include/catkinwing/Ingress/LoadExchange.h
@@ -48,8 +48,8 @@
     void appendDigests(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out);
     LoadDigest buildGroupDigest(const std::string& name, bool includesSegments);
     LoadDigest buildRegionDigest(const LoadDigest& group, bool includesSegments, TimePoint now);
-    /// Records the sequence of \p digest. Returns true if an equal or later sequence of
-    /// the same collector and group has been received before.
+    /// Records the sequence number of \p digest. Returns true if a digest of the same
+    /// collector and group with an equal or higher number has been received before.
     bool isOutOfOrder(const LoadDigest& digest);
     void applyRegionDigest(const LoadDigest& digest, TimePoint now);
 
@@ -59,19 +59,25 @@
     std::uint64_t m_sequence { 0 };
     /// Change counter of the entry table as of the last rebuild of the groups.
     std::optional<std::uint64_t> m_appliedEntryChanges;
+    /// Each entry of the region reports to all others directly.
     bool m_isDirect { true };
     /// Groups of the region; empty if each entry reports to all others directly.
     std::vector<Group> m_groups;
+    /// The last load report of this entry was empty.
     bool m_wasIdle { false };
+    /// The last region digest that this entry built was empty.
     bool m_wasRegionIdle { false };
     /// Last load report of this entry; region digests include it.
     LoadReport m_lastOwnReport;
     /// Load reports of the members of this entry's group, its own included.
     PeerLoads m_groupLoads;
+    /// Prompt segments reported by the group since the last group digest.
     std::vector<PartSent> m_groupSegments;
     /// Last digests of the other groups, by group name.
     std::map<std::string, ReceivedDigest> m_groupDigests;
+    /// Prompt segments in digests of other groups since the last region digest.
     std::vector<PartSent> m_otherGroupSegments;
+    /// Sequence number of the last digest, by collector and group.
     absl::flat_hash_map<std::string, std::uint64_t> m_digestSequences;
 };
 
--- a/include/catkinwing/Ingress/RegionOutlooks.h
+++ b/include/catkinwing/Ingress/RegionOutlooks.h
@@ -30,8 +30,8 @@
     struct ReceivedOutlook {
         ServiceOutlook outlook;
         TimePoint at {};
-        /// Thousands of prompt tokens sent to the region that its reports don't include
-        /// yet, as of sentAt.
+        /// Thousands of prompt tokens that were sent to the region and are estimated to be
+        /// missing from its reports at the time sentAt.
         double sentKilotokens { 0 };
         TimePoint sentAt {};
     };
--- a/include/catkinwing/Ingress/RoutedRun.h
+++ b/include/catkinwing/Ingress/RoutedRun.h
@@ -31,7 +31,7 @@
     unsigned earlierAttempts { 0 };
 };
 
-/// Reads the headers that a forwarding entry adds into \p request.
+/// Sets the fields of \p request from the headers that a forwarding entry adds.
 void readForwardHeaders(const HttpHeaders& headers, RoutedRequest& request);
 
 /// Runs one routed request from its arrival to its final answer. The object
@@ -54,7 +54,7 @@
         std::shared_ptr<RoutedEndpoint> endpoint;
         SocketAddress peer;
         std::string region;
-        /// Reason for the choice of the target, for logs.
+        /// Reason for the choice of the target. Written to the log only.
         const char* why { "" };
         /// Prompt tokens counted as unread at the endpoint until the first bytes of the answer.
         std::int64_t unreadTokens { 0 };
@@ -70,13 +70,15 @@
         TimePoint startedAt {};
         absl::optional<HttpResponseHead> head;
         AnswerFacts facts;
-        /// Outcome stated by the other entry.
+        /// Outcome stated by the entry that the request was forwarded to.
         absl::optional<Outcome> reportedOutcome;
-        /// Number of attempts at endpoints that the other entry reports.
+        /// Number of attempts at endpoints reported by the entry that the request was
+        /// forwarded to.
         absl::optional<unsigned> reportedRuns;
-        /// Retry-after time of a refusal by another entry that holds everywhere.
+        /// Retry-after time stated by another entry, if its refusal applies to all entries
+        /// and regions.
         absl::optional<std::chrono::milliseconds> reportedRetryAfter;
-        /// The answer carries the ID of this request.
+        /// The answer carries the attempt ID of this request.
         bool isForThisRequest { false };
         bool isEventStream { false };
         std::string body;
@@ -88,8 +90,8 @@
     bool canRunBeforeStop() const;
     const RequestFingerprint& fingerprint();
     bool refuseIfCrashing();
-    /// Delays the request if an endpoint has just crashed while it ran an identical
-    /// one. Returns whether the request is delayed or has been refused.
+    /// Delays the request if an endpoint has just crashed while running an identical
+    /// request. Returns whether the request is delayed or has been refused.
     bool holdIfSuspect();
     void beginHold(const CrashingRequests::RecentCrash& crash, const EntryOrder& order, TimePoint time);
     void refuseEverywhere(std::chrono::milliseconds retryAfter, const char* reason = "crashes_endpoints");
@@ -165,33 +167,42 @@
     TimerId m_deadlineTimer { 0 };
     absl::optional<Attempt> m_attempt;
     std::uint64_t m_attempts { 0 };
+    /// Number of attempts that may have been executed.
     unsigned m_runs { 0 };
+    /// Number of attempts that were certainly not executed.
     unsigned m_refusals { 0 };
     bool m_mayHaveRun { false };
-    /// Attempts that may have reached an endpoint. After the first, each further
-    /// attempt uses the retry budget.
+    /// Number of attempts that may have reached an endpoint. Once there is one, each
+    /// further attempt uses the retry budget.
     unsigned m_reachedAttempts { 0 };
+    /// The last attempt may have been executed.
     bool m_lastMayHaveRun { false };
-    /// When the request was first delayed because of a crash under an identical one.
+    /// When the request was first delayed because an endpoint crashed while running an
+    /// identical request.
     absl::optional<TimePoint> m_heldSince;
     /// The request was not retried only because the retry budget was used up.
     bool m_wasDeniedRetry { false };
-    /// Target of the last attempt and the reason for its choice, for logs.
+    /// Target of the last attempt and the reason for its choice. Written to the log only.
     std::string m_lastTarget;
     const char* m_lastWhy { "" };
+    /// An endpoint of this region has refused the request.
     bool m_wasRefusedHere { false };
     std::vector<std::string> m_triedEndpoints;
     std::vector<std::string> m_triedRegions;
     EventCursor m_cursor;
+    /// The head of the answer has been sent to the client.
     bool m_hasHead { false };
+    /// Reading from the endpoint is paused because the client reads slowly.
     bool m_isPaused { false };
     bool m_isDone { false };
     bool m_wasTimedOut { false };
     TimePoint m_firstByteAt {};
-    /// Last complete error answer of an endpoint, delivered if no retry succeeds.
+    /// Head of the last complete error answer of an endpoint. That answer is delivered if
+    /// no retry succeeds.
     absl::optional<HttpResponseHead> m_failureHead;
     /// Retry-after time of a refusal that doesn't depend on the load.
     absl::optional<std::chrono::milliseconds> m_retryAfter;
+    /// Body of the answer that m_failureHead belongs to.
     std::string m_failureBody;
 };
 
--- a/include/catkinwing/Ingress/RunDecisions.h
+++ b/include/catkinwing/Ingress/RunDecisions.h
@@ -20,6 +20,7 @@
 struct AttemptEvidence {
     AttemptTarget target { AttemptTarget::Endpoint };
     HttpEnd end { HttpEnd::Complete };
+    /// The request may have reached the target of the attempt.
     bool mayHaveReached { false };
     /// A response head was received.
     bool hasHead { false };
@@ -36,20 +37,23 @@
 
 /// State of a routed request when one of its attempts has failed.
 struct RunProgress {
-    /// The request may be executed more than once.
+    /// The route allows the request to be executed more than once.
     bool mayRepeat { false };
     /// A broken stream may be resumed at another endpoint.
     bool isResumable { false };
     /// An attempt, the failed one included, may have been executed.
     bool mayHaveRun { false };
-    /// Attempts that may have been executed.
+    /// Number of attempts that may have been executed.
     unsigned runs { 0 };
-    /// Attempts that were certainly not executed, failed connections included.
+    /// Number of attempts that were certainly not executed. Includes failed connections.
     unsigned refusals { 0 };
+    /// Max number of attempts that may have been executed.
     unsigned maxRuns { 1 };
     /// The head of the answer has been sent to the client.
     bool hasDelivered { false };
+    /// The retry budget allows another attempt.
     bool hasBudget { false };
+    /// Time until the deadline of the request.
     Duration timeLeft { 0 };
 };
 
--- a/lib/Ingress/CrashExchange.cpp
+++ b/lib/Ingress/CrashExchange.cpp
@@ -8,22 +8,23 @@
 
 using std::chrono::milliseconds;
 
-/// Number of entries that count the crashes of a request: two of all entries, which
-/// add up crashes in different regions, and two of the own region, which keep counting
-/// while the region is partitioned from the others. Two of each tolerate the loss of one.
+/// Number of entries that count the crashes of a request. Two are chosen among all
+/// entries and add up the crashes in different regions. Two are chosen in this entry's
+/// region and keep counting while the region is partitioned from the others. Two of each
+/// tolerate the loss of one.
 static constexpr std::size_t countingEntriesOverall = 2;
 static constexpr std::size_t countingEntriesOfRegion = 2;
-/// A settled crash is sent to these entries this many times, since datagrams can be lost.
+/// The notice of a settled crash is sent to the counting entries this many times, since datagrams can be lost.
 static constexpr unsigned sendsPerSettledNotice = 3;
-/// Max number of settled crashes that wait to be sent; covers the requests that run at
+/// Max number of notices of settled crashes that wait to be sent. This covers the requests that run at
 /// a few endpoints.
 static constexpr std::size_t maxSettledNotices = 2'048;
 /// Number of random entries that a changed notice is sent to in one tick. After five
 /// ticks each of 550 entries has received it with near certainty.
 static constexpr std::size_t newsFanout = 4;
 /// Max number of entries that are notified of a broken connection without delay. This
-/// covers all entries of a small deployment. With more entries, the same request arrives
-/// less often at each of them.
+/// covers all entries of a small deployment. In a larger deployment the same request
+/// reaches each entry less often, so the other entries can be notified at a later tick.
 static constexpr std::size_t urgentFanout = 24;
 /// Interval in ticks at which the notice of each suspected request is sent to one random
 /// entry, for entries that started later or were unreachable.
--- a/lib/Ingress/LoadExchange.cpp
+++ b/lib/Ingress/LoadExchange.cpp
@@ -14,7 +14,7 @@
 static constexpr std::uint64_t directReportTicks = 2;
 /// Digests of other groups expire after the same time as load reports.
 static constexpr std::chrono::milliseconds digestLifetime { 1'000 };
-/// Max number of pairs of collector and group whose last sequence is kept.
+/// Max number of pairs of collector and group whose last sequence number is kept.
 static constexpr std::size_t maxTrackedCollectors = 256;
 /// Max number of endpoints in one digest, so that it fits into a datagram. A digest
 /// keeps the busiest endpoints; the others have little load.
--- a/lib/Ingress/RegionOutlooks.cpp
+++ b/lib/Ingress/RegionOutlooks.cpp
@@ -11,9 +11,9 @@
 /// Mean time until the reports of a region include a request that was sent there: the
 /// round trip between the regions and one report interval.
 static constexpr std::chrono::milliseconds meanReportDelay { 300 };
-/// Wait in a region without endpoints; longer than any request may wait.
+/// Expected wait in a region without endpoints. No request may wait this long.
 static constexpr std::chrono::hours noEndpointWait { 1 };
-/// Max number of entries of a region whose last sequence is kept.
+/// Max number of entries of a region whose last sequence number is kept.
 static constexpr std::size_t maxTrackedEntries = 256;
 
 void RegionOutlooks::take(const RegionReport& report, TimePoint now)
--- a/lib/Ingress/RoutedRun.cpp
+++ b/lib/Ingress/RoutedRun.cpp
@@ -12,7 +12,7 @@
 static constexpr int statusNotFound = 404;
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
-/// Share of the retries beyond the ratio that the entries use. The rest is a reserve
+/// Share of the retry allowance that the entries use. The rest is a reserve
 /// for restarted entries and for partitions in which entries don't see each other.
 static constexpr double allowanceShare = 0.5;
 /// The same share in the first window after an entry's start, so that its first
@@ -35,14 +35,15 @@
 /// A shared segment of fewer tokens is read in a few milliseconds and doesn't
 /// affect the choice of the endpoint.
 static constexpr std::int64_t minSharedTokens = 1'000;
-/// A request goes to a region of unknown load that keeps its shared segment only if
-/// the acceptance of the region is above this. The limit is low because a region
+/// A request is forwarded to a region that keeps its shared segment but has no recent
+/// load report only if the acceptance of the region is above this. The limit is low because a region
 /// refuses short requests long before long ones are affected, and because a segment
 /// that is read in another region evicts others there.
 static constexpr double minOwnerAcceptance = 0.3;
 /// A stopping entry accepts every request for this long, since clients still hold
 /// directory answers that name it and most requests end long before their deadline.
-/// Afterwards it accepts only requests whose deadline is no later than its end.
+/// Afterwards the entry accepts only requests whose deadline is no later than the end
+/// of its planned stop.
 static constexpr milliseconds acceptAllWhileStopping { 3'000 };
 /// Priorities of routes and endpoints start at zero, the most urgent.
 static constexpr int leastUrgentPriority = 9;
@@ -178,8 +179,8 @@
     return demand;
 }
 
-// The order of preference is an endpoint of this region, as the nearest, unless the
-// region refuses many requests; then another region; then an endpoint that was
+// Prefers an endpoint of this region, which is the nearest, unless the region refuses
+// many requests. The second choice is another region. The third is an endpoint that was
 // tried before, if the last attempt may have run.
 void RoutedRun::dispatch()
 {
@@ -269,7 +270,7 @@
     endpointRequest.events = expectedEvents();
     endpointRequest.tried = &m_triedEndpoints;
     endpointRequest.mayBeTried = mayBeTried;
-    // A request that may have run or has begun to answer has no wait limit.
+    // A request that may have run or whose answer has begun has no wait limit.
     WaitDemand demand = waitDemand();
     endpointRequest.demand = m_mayHaveRun || m_hasHead ? nullptr : &demand;
     std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(endpointRequest, now(), m_parts.random);
@@ -311,7 +312,8 @@
     return regions;
 }
 
-// A request that may have run or has begun to answer may go to any region.
+// Regions with too long a wait are excluded, unless the request may have run or its
+// answer has begun.
 std::map<std::string, std::size_t> RoutedRun::regionsWithCapacity(const std::string& service) const
 {
     std::map<std::string, std::size_t> regions = untriedRegions(service);
@@ -364,8 +366,8 @@
     return options;
 }
 
-// A long shared segment is kept in one region: forwarding the request there costs a
-// round trip, which takes less time than reading the segment again.
+// A long shared segment is kept in one region. Forwarding the request to that region
+// costs a round trip, which takes less time than reading the segment again.
 bool RoutedRun::sendToSegmentRegion()
 {
     if (m_request.isForwarded || m_attempts > 0)
@@ -388,7 +390,8 @@
 bool RoutedRun::sendToEntryIn(const std::string& region, const char* why)
 {
     std::optional<SocketAddress> peer = m_parts.entries.choosePeer(region, now(), m_parts.random);
-    // A request that may not be processed here can only be served by such an entry.
+    // A request that may not be processed here can only be served by an entry of another
+    // region. Its registration may have been removed while it still runs.
     if (!peer && !isAllowedHere())
         peer = m_parts.entries.chooseDepartedPeer(region, now(), m_parts.random);
     m_triedRegions.push_back(region);
--- a/lib/Ingress/RoutedRunAnswers.cpp
+++ b/lib/Ingress/RoutedRunAnswers.cpp
@@ -16,18 +16,20 @@
 static constexpr int firstErrorStatus = 500;
 /// Reading from the endpoint pauses when this many bytes wait for a slow client.
 static constexpr std::size_t maxPendingBytes = 128u << 10;
-/// An answer that isn't a stream is buffered until it is complete, so that a broken
-/// one can be retried or fails with a status. An answer is abandoned if it exceeds
+/// An answer that isn't a stream is buffered until it is complete, so that a request
+/// whose answer breaks off can be retried or fails with a status. An answer is abandoned if it exceeds
 /// the maximum body size of client requests by more than this.
 static constexpr std::size_t extraAnswerBytes = 512u << 10;
 /// The retry-after time is at most the remaining time of the request divided by
 /// this; after a longer wait the client would have no time left for the retry.
 static constexpr int timeLeftDivisor = 3;
-/// Retry-after time before a configuration is known and for requests without a
-/// route, where no load estimate exists; a start takes about this long.
+/// Retry-after time that is sent while no load estimate exists: before a configuration
+/// is known, or if no route matches. An entry takes about this long to load its first
+/// configuration.
 static constexpr milliseconds retryAfterWithoutRoute { 500 };
 
-/// A longer retry-after time stated by another entry is ignored as invalid.
+/// A retry-after time stated by another entry is ignored as invalid if it isn't below
+/// this.
 static constexpr std::chrono::duration<double> maxReportedRetryAfter = std::chrono::hours(2);
 
 static absl::optional<Outcome> readOutcome(const HttpResponseHead& head)
@@ -108,7 +110,7 @@
 }
 
 // The time to the first bytes measures the speed of the endpoint only if it had a free
-// slot; otherwise it mostly depends on the requests before.
+// slot; otherwise the time mostly depends on the requests that are ahead in its queue.
 void RoutedRun::recordAnswerStart(Attempt& attempt) const
 {
     if (attempt.hasAnswerBegun)
@@ -349,7 +351,8 @@
     }
 }
 
-// The forwarding entry counts these attempts against the limit of its route.
+// Adds the number of attempts to the answer to a forwarded request. The forwarding entry
+// counts them against the limit of its route.
 HttpResponseHead RoutedRun::withAttemptsHeader(HttpResponseHead head) const
 {
     if (m_request.isForwarded)
--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -12,11 +12,13 @@
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
 static constexpr int firstErrorStatus = 500;
-/// A request waits at most this long for the outcome of an identical one after an
-/// endpoint crashed while running it.
+/// After an endpoint crashed while running a request, an identical request is held at
+/// most this long until it is known whether the first one caused the crash.
 static constexpr milliseconds maxHoldTime { 400 };
+/// Max interval at which a held request checks whether it may be sent.
 static constexpr milliseconds holdCheckInterval { 20 };
-/// After this time it is mostly known whether the request caused the crash.
+/// Retry-after time for a request that is refused after being held. By then it is
+/// usually known whether an identical request caused the crash.
 static constexpr milliseconds retryAfterHold { 1'000 };
 
 const RequestFingerprint& RoutedRun::fingerprint()
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -43,7 +43,7 @@
 
 class EntryFleet {
 public:
-    /// \p homeRegions are the regions that the route allows; all if empty.
+    /// \p homeRegions are the regions that the route allows. An empty list allows all.
     explicit EntryFleet(unsigned seed, std::size_t entriesPerRegion = 3, std::size_t endpointsPerRegion = 6, std::vector<std::string> homeRegions = {});
     ~EntryFleet();
 
@@ -91,10 +91,11 @@
     std::vector<TimePoint> crashes;
     std::vector<Arrival> arrivals;
     std::vector<SentRequest> sent;
-    /// Time that an endpoint takes to answer a request, time from the start of a request with
-    /// crashingBody to the crash, and time from a crash to the restart.
+    /// Time that an endpoint takes to answer a request.
     Duration answersAfter { std::chrono::milliseconds(60) };
+    /// Time from the start of a request with crashingBody to the crash of its endpoint.
     Duration crashesAfter { std::chrono::milliseconds(250) };
+    /// Time from the crash of an endpoint to its restart.
     Duration restartsAfter { std::chrono::milliseconds(3'000) };
     /// Endpoints answer crashingBody like any other body.
     bool isRepaired { false };
@@ -120,6 +121,7 @@
     std::vector<std::unique_ptr<Entry>> m_replacedEntries;
     std::vector<std::shared_ptr<SimulatedEndpoint>> m_endpoints;
     std::size_t m_endpointStarts { 0 };
+    /// Number of the last request at any endpoint.
     std::uint64_t m_requests { 0 };
     Route m_route;
     std::shared_ptr<const RouteTable> m_routes;
--- a/unittests/Ingress/IngressFixture.h
+++ b/unittests/Ingress/IngressFixture.h
@@ -1,4 +1,5 @@
-// Test fixture: the routed requests of one entry over fake HTTP clients, in a dialect for tests.
+// Test fixture that routes the requests of one entry through fake HTTP clients and uses a
+// test Dialect.
 #pragma once
 
 #include "Coordination/FakeHttpClient.h"
@@ -24,7 +25,7 @@
 public:
     IngressFixture();
 
-    /// Applies a configuration of one route and the service that all its requests go to.
+    /// Applies a configuration that consists of one route and its only service.
     void configure(Route route);
     static Route unary(RequestKind kind, unsigned attempts = 2);
     static Route streamRoute(bool isResumable);
--- a/unittests/Ingress/RetryBudgetTest.cpp
+++ b/unittests/Ingress/RetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the retry budget: retries of all entries together while endpoints refuse requests.
+// Tests the number of retries of all entries together while endpoints refuse requests.
 #include "EntryFleet.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 namespace {
 
 /// The window of ten seconds in which the number of retries exceeds the allowed number
-/// the most. A retry is an arrival at an endpoint after the first of the same request.
+/// the most. Every attempt of a request at an endpoint but the first is a retry.
 struct WorstWindow {
     std::size_t retries { 0 };
     double allowed { 0 };
@@ -103,8 +103,9 @@
 
 } // namespace
 
-// Guards against counting the budget twice: entries use the budget of requests from
-// clients that have moved, and the entries that now serve the clients get it again.
+// Guards against using the same budget twice. When clients move to entries of another
+// region, their earlier requests still count at the old entries, and their new requests
+// add to the budget of the new entries.
 TEST_CASE("retries stay within the budget of all requests while clients move to entries of another region")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
