--- a/include/catkinwing/Ingress/IngressParts.h
+++ b/include/catkinwing/Ingress/IngressParts.h
@@ -66,7 +66,7 @@
     /// Number of requests that have no final answer yet.
     std::size_t openRequests { 0 };
     /// Number of the latest attempt of any request; attempts are numbered from 1.
-    std::uint64_t lastAttempt { 0 };
+    std::uint64_t lastAttemptNumber { 0 };
     /// Requests that crash endpoints or are suspected to.
     CrashingRequests crashing {};
     /// When this entry's process started.
--- a/include/catkinwing/Ingress/LoadExchange.h
+++ b/include/catkinwing/Ingress/LoadExchange.h
@@ -60,13 +60,13 @@
     /// Change counter of the entry table as of the last rebuild of the groups.
     std::optional<std::uint64_t> m_appliedEntryChanges;
     /// Each entry of the region reports to all others directly.
-    bool m_isDirect { true };
+    bool m_hasDirectReports { true };
     /// Groups of the region; empty if each entry reports to all others directly.
     std::vector<Group> m_groups;
     /// The last load report of this entry was empty.
-    bool m_wasIdle { false };
+    bool m_wasLastReportEmpty { false };
     /// The last region digest that this entry built was empty.
-    bool m_wasRegionIdle { false };
+    bool m_wasLastRegionDigestEmpty { false };
     /// Last load report of this entry; region digests include it.
     LoadReport m_lastOwnReport;
     /// Load reports of the members of this entry's group, its own included.
--- a/include/catkinwing/Ingress/RoutedRun.h
+++ b/include/catkinwing/Ingress/RoutedRun.h
@@ -74,7 +74,7 @@
         absl::optional<Outcome> reportedOutcome;
         /// Number of attempts at endpoints reported by the entry that the request was
         /// forwarded to.
-        absl::optional<unsigned> reportedRuns;
+        absl::optional<unsigned> reportedAttempts;
         /// Retry-after time stated by another entry, if its refusal applies to all entries
         /// and regions.
         absl::optional<std::chrono::milliseconds> reportedRetryAfter;
@@ -131,7 +131,7 @@
     HttpClientRequest makeRequest(const SocketAddress& server, AttemptFacts facts) const;
 
     void extractEntryHeaders(Attempt& attempt);
-    unsigned runsOf(const Attempt& attempt) const;
+    unsigned possiblyRunAttemptsOf(const Attempt& attempt) const;
     void recordEndpointActivity(const Attempt& attempt) const;
     void recordEndpointState(const Attempt& attempt) const;
     void onHead(const HttpResponseHead& head);
@@ -166,17 +166,17 @@
     TimePoint m_deadline {};
     TimerId m_deadlineTimer { 0 };
     absl::optional<Attempt> m_attempt;
-    std::uint64_t m_attempts { 0 };
+    std::uint64_t m_attemptCount { 0 };
     /// Number of attempts that may have been executed.
-    unsigned m_runs { 0 };
+    unsigned m_possiblyRunAttempts { 0 };
     /// Number of attempts that were certainly not executed.
-    unsigned m_refusals { 0 };
+    unsigned m_notRunAttempts { 0 };
     bool m_mayHaveRun { false };
     /// Number of attempts that may have reached an endpoint. Once there is one, each
     /// further attempt uses the retry budget.
-    unsigned m_reachedAttempts { 0 };
+    unsigned m_possiblyDeliveredAttempts { 0 };
     /// The last attempt may have been executed.
-    bool m_lastMayHaveRun { false };
+    bool m_mayLastAttemptHaveRun { false };
     /// When the request was first delayed because an endpoint crashed while running an
     /// identical request.
     absl::optional<TimePoint> m_heldSince;
@@ -191,9 +191,9 @@
     std::vector<std::string> m_triedRegions;
     EventCursor m_cursor;
     /// The head of the answer has been sent to the client.
-    bool m_hasHead { false };
+    bool m_hasSentHead { false };
     /// Reading from the endpoint is paused because the client reads slowly.
-    bool m_isPaused { false };
+    bool m_isReadingPaused { false };
     bool m_isDone { false };
     bool m_wasTimedOut { false };
     TimePoint m_firstByteAt {};
--- a/include/catkinwing/Ingress/RunDecisions.h
+++ b/include/catkinwing/Ingress/RunDecisions.h
@@ -44,15 +44,15 @@
     /// An attempt, the failed one included, may have been executed.
     bool mayHaveRun { false };
     /// Number of attempts that may have been executed.
-    unsigned runs { 0 };
+    unsigned possiblyRunAttempts { 0 };
     /// Number of attempts that were certainly not executed. Includes failed connections.
-    unsigned refusals { 0 };
+    unsigned notRunAttempts { 0 };
     /// Max number of attempts that may have been executed.
-    unsigned maxRuns { 1 };
+    unsigned maxAttempts { 1 };
     /// The head of the answer has been sent to the client.
-    bool hasDelivered { false };
+    bool hasSentHead { false };
     /// The retry budget allows another attempt.
-    bool hasBudget { false };
+    bool hasRetryBudget { false };
     /// Time until the deadline of the request.
     Duration timeLeft { 0 };
 };
--- a/lib/Ingress/CrashExchange.cpp
+++ b/lib/Ingress/CrashExchange.cpp
@@ -21,7 +21,7 @@
 static constexpr std::size_t maxSettledNotices = 2'048;
 /// Number of random entries that a changed notice is sent to in one tick. After five
 /// ticks each of 550 entries has received it with near certainty.
-static constexpr std::size_t newsFanout = 4;
+static constexpr std::size_t changedNoticeFanout = 4;
 /// Max number of entries that are notified of a broken connection without delay. This
 /// covers all entries of a small deployment. In a larger deployment the same request
 /// reaches each entry less often, so the other entries can be notified at a later tick.
@@ -64,19 +64,19 @@
             ranked.emplace_back(stableHash(neighbor.key, seed), &neighbor);
     }
     std::sort(ranked.begin(), ranked.end());
-    std::vector<SocketAddress> counters;
-    std::size_t ofAll = 0;
-    std::size_t ofRegion = 0;
+    std::vector<SocketAddress> chosenAddresses;
+    std::size_t chosenOverall = 0;
+    std::size_t chosenOfRegion = 0;
     for (const auto& [score, neighbor] : ranked) {
         bool isOfRegion = neighbor->region == m_self.region;
-        bool isChosen = ofAll < countingEntriesOverall || (isOfRegion && ofRegion < countingEntriesOfRegion);
+        bool isChosen = chosenOverall < countingEntriesOverall || (isOfRegion && chosenOfRegion < countingEntriesOfRegion);
         if (!isChosen)
             continue;
-        ++ofAll;
-        ofRegion += isOfRegion ? 1 : 0;
-        counters.push_back(neighbor->address);
+        ++chosenOverall;
+        chosenOfRegion += isOfRegion ? 1 : 0;
+        chosenAddresses.push_back(neighbor->address);
     }
-    return counters;
+    return chosenAddresses;
 }
 
 std::vector<SocketAddress> CrashExchange::randomEntries(const CrashNotice& notice, std::size_t count) const
@@ -106,8 +106,8 @@
             crash.age += std::chrono::duration_cast<milliseconds>(now - settled.at);
         if (notice.survivedAgo)
             *notice.survivedAgo += std::chrono::duration_cast<milliseconds>(now - settled.at);
-        for (const SocketAddress& counter : countingEntries(notice))
-            outbox[counter].push_back(notice);
+        for (const SocketAddress& address : countingEntries(notice))
+            outbox[address].push_back(notice);
     }
     auto isFullySent = [](const SettledNotice& settled) { return settled.remainingSends == 0; };
     m_settledNotices.erase(std::remove_if(m_settledNotices.begin(), m_settledNotices.end(), isFullySent), m_settledNotices.end());
@@ -116,7 +116,7 @@
 void CrashExchange::queueSuspectNotices(Outbox& outbox, TimePoint now)
 {
     for (const CrashNotice& notice : m_requests.takeNews(now)) {
-        for (const SocketAddress& other : randomEntries(notice, newsFanout))
+        for (const SocketAddress& other : randomEntries(notice, changedNoticeFanout))
             outbox[other].push_back(notice);
     }
     if (m_ticks % suspectSendTicks != 0)
--- a/lib/Ingress/LoadExchange.cpp
+++ b/lib/Ingress/LoadExchange.cpp
@@ -40,13 +40,13 @@
     if (m_appliedEntryChanges == m_entries.changes())
         return;
     m_appliedEntryChanges = m_entries.changes();
-    bool wasDirect = std::exchange(m_isDirect, m_entries.peersOf(m_self.region).size() < maxDirectEntries);
-    if (wasDirect != m_isDirect) {
+    bool hadDirectReports = std::exchange(m_hasDirectReports, m_entries.peersOf(m_self.region).size() < maxDirectEntries);
+    if (hadDirectReports != m_hasDirectReports) {
         m_endpoints.peerLoads() = PeerLoads();
         m_groupLoads = PeerLoads();
     }
     m_groups.clear();
-    if (!m_isDirect)
+    if (!m_hasDirectReports)
         rebuildGroups();
 }
 
@@ -80,14 +80,14 @@
     m_groupLoads.expire(now);
     ++m_sequence;
     updateGroups();
-    if (m_isDirect && m_sequence % directReportTicks != 0)
+    if (m_hasDirectReports && m_sequence % directReportTicks != 0)
         return {};
     LoadReport own { key, m_sequence, m_endpoints.ownLoads(now), m_endpoints.partsSent() };
     bool isIdle = own.loads.empty() && own.parts.empty();
-    bool isSuppressed = isIdle && m_wasIdle;
-    m_wasIdle = isIdle;
+    bool isSuppressed = isIdle && m_wasLastReportEmpty;
+    m_wasLastReportEmpty = isIdle;
     std::vector<OutgoingDatagram> out;
-    if (m_isDirect) {
+    if (m_hasDirectReports) {
         if (!isSuppressed)
             appendReportsToAll(own, out);
         return out;
@@ -127,7 +127,7 @@
     LoadDigest regionDigest = buildRegionDigest(groupDigest, includesSegments, now);
     applyRegionDigest(regionDigest, now);
     bool isIdle = regionDigest.loads.empty() && regionDigest.parts.empty();
-    if (std::exchange(m_wasRegionIdle, isIdle) && isIdle)
+    if (std::exchange(m_wasLastRegionDigestEmpty, isIdle) && isIdle)
         return;
     std::string bytes = encodeLoadDigest(groupDigest);
     for (const Group& other : m_groups) {
@@ -188,7 +188,7 @@
 {
     updateGroups();
     m_endpoints.takePartsSent(report.parts, now);
-    if (m_isDirect) {
+    if (m_hasDirectReports) {
         m_endpoints.peerLoads().take(std::move(report), now);
         return;
     }
@@ -211,7 +211,7 @@
 void LoadExchange::takeDigest(LoadDigest digest, TimePoint now)
 {
     updateGroups();
-    if (m_isDirect || isOutOfOrder(digest))
+    if (m_hasDirectReports || isOutOfOrder(digest))
         return;
     if (digest.group != regionDigestName) {
         m_endpoints.takePartsSent(digest.parts, now);
--- a/lib/Ingress/RoutedRun.cpp
+++ b/lib/Ingress/RoutedRun.cpp
@@ -190,7 +190,7 @@
         return;
     if (!m_request.isForwarded && sendToRegion(m_service, isAllowedHere() ? "no_endpoint_here" : "homes"))
         return;
-    if (m_lastMayHaveRun && isAllowedHere() && sendToEndpoint(m_service, true))
+    if (m_mayLastAttemptHaveRun && isAllowedHere() && sendToEndpoint(m_service, true))
         return;
     if (m_failureHead) {
         sendAnswer(*m_failureHead, std::move(m_failureBody));
@@ -215,7 +215,7 @@
 bool RoutedRun::routeFirstAttempt()
 {
     const ServiceSettings* settings = m_routes->findService(m_service);
-    bool isFirst = m_attempts == 0 && !m_request.isForwarded;
+    bool isFirst = m_attemptCount == 0 && !m_request.isForwarded;
     if (!isFirst || !settings)
         return false;
     auto durationAt = [events = expectedEvents()](Duration perEvent) { return std::chrono::duration_cast<Duration>(perEvent * events); };
@@ -245,7 +245,7 @@
 {
     if (m_request.isForwarded || !isAllowedHere())
         return false;
-    bool isFirst = m_attempts == 0;
+    bool isFirst = m_attemptCount == 0;
     bool shouldForward = m_wasRefusedHere || (isFirst && shouldSpill(regionAcceptance(), m_parts.region, untriedRegions(m_service), now(), m_parts.random));
     return shouldForward && sendToRegion(m_service, m_wasRefusedHere ? "refused_here" : "region_refuses");
 }
@@ -272,7 +272,7 @@
     endpointRequest.mayBeTried = mayBeTried;
     // A request that may have run or whose answer has begun has no wait limit.
     WaitDemand demand = waitDemand();
-    endpointRequest.demand = m_mayHaveRun || m_hasHead ? nullptr : &demand;
+    endpointRequest.demand = m_mayHaveRun || m_hasSentHead ? nullptr : &demand;
     std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(endpointRequest, now(), m_parts.random);
     if (!endpoint)
         return false;
@@ -317,7 +317,7 @@
 std::map<std::string, std::size_t> RoutedRun::regionsWithCapacity(const std::string& service) const
 {
     std::map<std::string, std::size_t> regions = untriedRegions(service);
-    if (m_mayHaveRun || m_hasHead)
+    if (m_mayHaveRun || m_hasSentHead)
         return regions;
     Duration longest = maxWait();
     for (auto region = regions.begin(); region != regions.end();) {
@@ -370,7 +370,7 @@
 // costs a round trip, which takes less time than reading the segment again.
 bool RoutedRun::sendToSegmentRegion()
 {
-    if (m_request.isForwarded || m_attempts > 0)
+    if (m_request.isForwarded || m_attemptCount > 0)
         return false;
     const PromptPart* segment = sharedSegment();
     const ServiceSettings* settings = m_routes->findService(m_service);
@@ -398,8 +398,8 @@
     if (!peer)
         return false;
     HttpClientRequest request = makeRequest(*peer, {});
-    request.headers.set(attemptsLeftHeader, std::to_string(m_route->attempts - std::min(m_runs, m_route->attempts)));
-    request.headers.set(earlierAttemptsHeader, std::to_string(m_reachedAttempts));
+    request.headers.set(attemptsLeftHeader, std::to_string(m_route->attempts - std::min(m_possiblyRunAttempts, m_route->attempts)));
+    request.headers.set(earlierAttemptsHeader, std::to_string(m_possiblyDeliveredAttempts));
     request.connectTimeout = peerConnectTimeout;
     Attempt attempt;
     attempt.target = AttemptTarget::Entry;
@@ -439,8 +439,8 @@
 void RoutedRun::startAttempt(Attempt attempt, HttpClientRequest request)
 {
     auto self = shared_from_this();
-    ++m_attempts;
-    attempt.number = ++m_parts.lastAttempt;
+    ++m_attemptCount;
+    attempt.number = ++m_parts.lastAttemptNumber;
     attempt.startedAt = now();
     m_lastTarget = attempt.endpoint ? attempt.endpoint->record.incarnation : attempt.peer.toString();
     m_lastWhy = attempt.why;
@@ -489,7 +489,7 @@
         return;
     }
     RunProgress after = progress();
-    after.runs += 1;
+    after.possiblyRunAttempts += 1;
     after.mayHaveRun = true;
     if (decideNext(AttemptVerdict::Unknown, after) == NextStep::Retry)
         abandonAttempt("endpoint_silent");
--- a/lib/Ingress/RoutedRunAnswers.cpp
+++ b/lib/Ingress/RoutedRunAnswers.cpp
@@ -47,7 +47,7 @@
     unsigned runs = 0;
     const std::string* text = headers.find(endpointAttemptsHeader);
     if (text && absl::SimpleAtoi(*text, &runs))
-        attempt.reportedRuns = runs;
+        attempt.reportedAttempts = runs;
     double seconds = 0;
     const std::string* retryAfter = headers.find(refusedEverywhereHeader);
     if (retryAfter && absl::SimpleAtod(*retryAfter, &seconds) && seconds > 0 && seconds < maxReportedRetryAfter.count())
@@ -150,7 +150,7 @@
     recordEndpointActivity(attempt);
     std::size_t before = m_cursor.events();
     std::string events = m_cursor.feed(bytes);
-    bool hasContinued = attempt.lastEventAt != TimePoint {} && !m_isPaused;
+    bool hasContinued = attempt.lastEventAt != TimePoint {} && !m_isReadingPaused;
     if (attempt.endpoint && hasContinued)
         EndpointTable::noteEvents(*attempt.endpoint, m_cursor.events() - before, now() - attempt.lastEventAt, now());
     if (m_cursor.events() > before)
@@ -189,7 +189,7 @@
     bool endsInsideEvent = attempt.isEventStream && (m_cursor.hasPartial() || m_cursor.isBroken());
     if (verdict == AttemptVerdict::Answered && endsInsideEvent)
         verdict = AttemptVerdict::Unknown;
-    m_reachedAttempts += mayHaveReached ? 1 : 0;
+    m_possiblyDeliveredAttempts += mayHaveReached ? 1 : 0;
     recordCrashEvidence(attempt, end, verdict);
     recordAttemptResult(verdict, detail);
     if (verdict == AttemptVerdict::Answered)
@@ -212,11 +212,11 @@
 }
 
 // An entry that doesn't report its number of attempts may have used all of them.
-unsigned RoutedRun::runsOf(const Attempt& attempt) const
+unsigned RoutedRun::possiblyRunAttemptsOf(const Attempt& attempt) const
 {
     if (attempt.target == AttemptTarget::Endpoint)
         return 1;
-    return attempt.reportedRuns.value_or(m_route->attempts);
+    return attempt.reportedAttempts.value_or(m_route->attempts);
 }
 
 void RoutedRun::recordAttemptResult(AttemptVerdict verdict, const std::string& detail)
@@ -248,18 +248,18 @@
     } else {
         m_parts.entries.notePeerAnswered(attempt.peer);
     }
-    bool isRun = verdict != AttemptVerdict::NotRun;
-    m_runs += isRun ? runsOf(attempt) : 0;
-    m_refusals += isRun ? 0 : 1;
-    m_mayHaveRun = m_mayHaveRun || isRun;
-    m_lastMayHaveRun = isRun;
+    bool mayHaveRun = verdict != AttemptVerdict::NotRun;
+    m_possiblyRunAttempts += mayHaveRun ? possiblyRunAttemptsOf(attempt) : 0;
+    m_notRunAttempts += mayHaveRun ? 0 : 1;
+    m_mayHaveRun = m_mayHaveRun || mayHaveRun;
+    m_mayLastAttemptHaveRun = mayHaveRun;
     if (verdict == AttemptVerdict::Answered || !m_parts.log.admitsNotable())
         return;
     m_parts.log.write(LogLevel::Warning, "attempt_failed",
         { { "request", m_request.facts.attemptId }, { "fingerprint", attempt.endpoint ? fingerprint().toHex() : "" }, { "route", m_route->name },
             { "to", m_lastTarget }, { "region", attempt.region }, { "why", attempt.why },
             { "verdict", verdictName(verdict) }, { "status", attempt.head ? attempt.head->status : 0 }, { "detail", detail },
-            { "attempt", m_attempts }, { "took_ms", std::chrono::duration_cast<milliseconds>(now() - attempt.startedAt).count() } });
+            { "attempt", m_attemptCount }, { "took_ms", std::chrono::duration_cast<milliseconds>(now() - attempt.startedAt).count() } });
 }
 
 // An error status of an endpoint is a complete answer, but a request that may be
@@ -276,7 +276,7 @@
         return;
     }
     bool isFailure = attempt.head->status >= firstErrorStatus;
-    bool mayRetryFailure = isFailure && mayRepeat(*m_route) && !m_hasHead;
+    bool mayRetryFailure = isFailure && mayRepeat(*m_route) && !m_hasSentHead;
     if (!mayRetryFailure) {
         sendAnswer(*attempt.head, std::move(attempt.body));
         return;
@@ -288,7 +288,7 @@
 
 RetryOrder RoutedRun::retryOrder() const
 {
-    return m_reachedAttempts + m_request.earlierAttempts > 1 ? RetryOrder::Further : RetryOrder::First;
+    return m_possiblyDeliveredAttempts + m_request.earlierAttempts > 1 ? RetryOrder::Further : RetryOrder::First;
 }
 
 RunProgress RoutedRun::progress()
@@ -297,11 +297,11 @@
     progress.mayRepeat = mayRepeat(*m_route);
     progress.isResumable = m_route->isResumable;
     progress.mayHaveRun = m_mayHaveRun;
-    progress.runs = m_runs;
-    progress.refusals = m_refusals;
-    progress.maxRuns = std::min(m_route->attempts, m_request.attemptsLeft.value_or(m_route->attempts));
-    progress.hasDelivered = m_hasHead;
-    progress.hasBudget = m_reachedAttempts == 0 || m_parts.retryBudgetOf(m_service).hasRetry(now(), retryOrder());
+    progress.possiblyRunAttempts = m_possiblyRunAttempts;
+    progress.notRunAttempts = m_notRunAttempts;
+    progress.maxAttempts = std::min(m_route->attempts, m_request.attemptsLeft.value_or(m_route->attempts));
+    progress.hasSentHead = m_hasSentHead;
+    progress.hasRetryBudget = m_possiblyDeliveredAttempts == 0 || m_parts.retryBudgetOf(m_service).hasRetry(now(), retryOrder());
     progress.timeLeft = m_deadline - now();
     return progress;
 }
@@ -310,10 +310,10 @@
 {
     RunProgress actual = progress();
     NextStep next = decideNext(verdict, actual);
-    if (actual.hasBudget)
+    if (actual.hasRetryBudget)
         return next;
     RunProgress withBudget = actual;
-    withBudget.hasBudget = true;
+    withBudget.hasRetryBudget = true;
     m_wasDeniedRetry = decideNext(verdict, withBudget) == NextStep::Retry;
     if (m_wasDeniedRetry) {
         m_parts.retryBudgetOf(m_service).noteDenied();
@@ -331,7 +331,7 @@
     }
     switch (decideNextStep(verdict)) {
     case NextStep::Retry:
-        if (m_reachedAttempts > 0)
+        if (m_possiblyDeliveredAttempts > 0)
             m_parts.retryBudgetOf(m_service).tryRetry(now(), retryOrder());
         m_parts.metrics.count("retries");
         dispatch();
@@ -356,15 +356,15 @@
 HttpResponseHead RoutedRun::withAttemptsHeader(HttpResponseHead head) const
 {
     if (m_request.isForwarded)
-        head.headers.add(endpointAttemptsHeader, std::to_string(std::max(m_runs, 1u)));
+        head.headers.add(endpointAttemptsHeader, std::to_string(std::max(m_possiblyRunAttempts, 1u)));
     return head;
 }
 
 void RoutedRun::deliverHead(const HttpResponseHead& head)
 {
-    if (m_hasHead)
+    if (m_hasSentHead)
         return;
-    m_hasHead = true;
+    m_hasSentHead = true;
     m_firstByteAt = now();
     m_responder->sendHead(withAttemptsHeader(head));
 }
@@ -372,25 +372,25 @@
 void RoutedRun::deliver(std::string bytes)
 {
     m_responder->write(std::move(bytes));
-    if (m_isPaused || m_responder->pendingBytes() < maxPendingBytes)
+    if (m_isReadingPaused || m_responder->pendingBytes() < maxPendingBytes)
         return;
-    m_isPaused = true;
+    m_isReadingPaused = true;
     m_attempt->exchange->pause();
     m_responder->onWritable([self = shared_from_this()] { self->resumeReading(); });
 }
 
 void RoutedRun::resumeReading()
 {
-    if (!m_isPaused || m_isDone)
+    if (!m_isReadingPaused || m_isDone)
         return;
-    m_isPaused = false;
+    m_isReadingPaused = false;
     if (m_attempt)
         m_attempt->exchange->resume();
 }
 
 void RoutedRun::sendAnswer(const HttpResponseHead& head, std::string body)
 {
-    if (m_hasHead) {
+    if (m_hasSentHead) {
         abortAnswer("stream_failed");
         return;
     }
@@ -417,7 +417,7 @@
 // Sends an answer that this entry makes itself, with the outcome of the request.
 void RoutedRun::sendOwnAnswer(int status, Outcome outcome, const char* reason)
 {
-    if (m_hasHead) {
+    if (m_hasSentHead) {
         abortAnswer(reason);
         return;
     }
@@ -481,7 +481,7 @@
         auto sinceArrival = [this](TimePoint time) { return std::chrono::duration_cast<milliseconds>(time - m_request.arrivedAt).count(); };
         nlohmann::json fields = {
             { "request", m_request.facts.attemptId }, { "route", m_route ? m_route->name : "" }, { "status", status },
-            { "outcome", outcome }, { "reason", reason }, { "attempts", m_attempts }, { "forwarded", m_request.isForwarded },
+            { "outcome", outcome }, { "reason", reason }, { "attempts", m_attemptCount }, { "forwarded", m_request.isForwarded },
             { "version", m_routes ? m_routes->version() : 0 }, { "took_ms", sinceArrival(now()) }
         };
         if (m_firstByteAt != TimePoint {})
@@ -490,7 +490,7 @@
             fields["retry_denied"] = true;
         if (m_cursor.events() > 0)
             fields["events"] = m_cursor.events();
-        if (m_attempts > 0) {
+        if (m_attemptCount > 0) {
             fields["to"] = m_lastTarget;
             fields["why"] = m_lastWhy;
             fields["load_reports"] = m_parts.endpoints.peerLoads().entries();
--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -62,7 +62,7 @@
     std::optional<CrashingRequests::RecentCrash> crash = crashing.crashToAwait(fingerprint(), time);
     if (!crash)
         return false;
-    bool isLikelyUnrelated = crash->isOnlyOwn && m_reachedAttempts > 0;
+    bool isLikelyUnrelated = crash->isOnlyOwn && m_possiblyDeliveredAttempts > 0;
     EntryOrder order = m_parts.entries.orderFor(stableHash(fingerprint()), m_route->homeRegions);
     Duration wait = isLikelyUnrelated ? Duration::zero() : crashing.turnOf(fingerprint(), *crash, order, time) - time;
     if (wait <= Duration::zero()) {
--- a/lib/Ingress/RunDecisions.cpp
+++ b/lib/Ingress/RunDecisions.cpp
@@ -4,7 +4,7 @@
 
 /// A request isn't retried after this many attempts that were certainly not executed,
 /// most of which are refusals: a third refusal indicates that the whole service is full.
-static constexpr unsigned maxRefusals = 3;
+static constexpr unsigned maxNotRunAttempts = 3;
 /// An attempt with less time left than this would only fail at its deadline.
 static constexpr std::chrono::milliseconds minTimeForAttempt { 20 };
 
@@ -24,22 +24,22 @@
 
 static bool mayRetry(AttemptVerdict verdict, const RunProgress& progress)
 {
-    if (!progress.hasBudget || progress.timeLeft < minTimeForAttempt)
+    if (!progress.hasRetryBudget || progress.timeLeft < minTimeForAttempt)
         return false;
-    if (progress.hasDelivered && !progress.isResumable)
+    if (progress.hasSentHead && !progress.isResumable)
         return false;
     if (verdict == AttemptVerdict::NotRun) {
         bool isSafe = progress.mayRepeat || !progress.mayHaveRun;
-        return isSafe && progress.refusals < maxRefusals;
+        return isSafe && progress.notRunAttempts < maxNotRunAttempts;
     }
-    return progress.mayRepeat && progress.runs < progress.maxRuns;
+    return progress.mayRepeat && progress.possiblyRunAttempts < progress.maxAttempts;
 }
 
 NextStep decideNext(AttemptVerdict verdict, const RunProgress& progress)
 {
     if (mayRetry(verdict, progress))
         return NextStep::Retry;
-    if (progress.hasDelivered)
+    if (progress.hasSentHead)
         return NextStep::Abort;
     return progress.mayHaveRun ? NextStep::FailUnknown : NextStep::RefuseNotRun;
 }
--- a/unittests/Ingress/CrashExchangeTest.cpp
+++ b/unittests/Ingress/CrashExchangeTest.cpp
@@ -25,7 +25,7 @@
     EntryTable entries;
     CrashingRequests requests;
     CrashExchange exchange;
-    std::size_t bytes { 0 };
+    std::size_t bytesSent { 0 };
 };
 
 /// Entries of several regions and the datagrams between them.
@@ -55,7 +55,7 @@
         }
         for (const auto& entry : entries) {
             for (OutgoingDatagram& datagram : entry->exchange.tick(now)) {
-                entry->bytes += datagram.bytes.size();
+                entry->bytesSent += datagram.bytes.size();
                 inFlight.emplace_back(entry->record.peers, std::move(datagram));
             }
         }
@@ -83,7 +83,7 @@
     {
         std::size_t maxBytes = 0;
         for (const auto& entry : entries)
-            maxBytes = std::max(maxBytes, std::exchange(entry->bytes, 0));
+            maxBytes = std::max(maxBytes, std::exchange(entry->bytesSent, 0));
         return maxBytes;
     }
 
--- a/unittests/Ingress/CrashingRequestTest.cpp
+++ b/unittests/Ingress/CrashingRequestTest.cpp
@@ -38,13 +38,13 @@
 
 std::size_t othersServed(const EntryFleet& fleet, TimePoint from)
 {
-    return static_cast<std::size_t>(std::count_if(fleet.sent.begin(), fleet.sent.end(),
+    return static_cast<std::size_t>(std::count_if(fleet.sentRequests.begin(), fleet.sentRequests.end(),
         [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody && request.answer->status() == 200; }));
 }
 
 std::size_t othersSent(const EntryFleet& fleet, TimePoint from)
 {
-    return static_cast<std::size_t>(std::count_if(fleet.sent.begin(), fleet.sent.end(), [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody; }));
+    return static_cast<std::size_t>(std::count_if(fleet.sentRequests.begin(), fleet.sentRequests.end(), [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody; }));
 }
 
 } // namespace
@@ -69,7 +69,7 @@
 {
     for (unsigned seed = 1; seed <= 8; ++seed) {
         EntryFleet fleet(seed);
-        fleet.crashesAfter = 100ms;
+        fleet.crashDelay = 100ms;
         fleet.setMaxAttempts(1);
         for (int i = 0; i < 60; ++i) {
             fleet.sendToRandomEntry(crashingBody);
@@ -113,7 +113,7 @@
 {
     for (unsigned seed = 1; seed <= 6; ++seed) {
         EntryFleet fleet(seed);
-        fleet.cutRegions(true);
+        fleet.setRegionsPartitioned(true);
         runWithCrashingRequest(fleet, 15s);
         TimePoint afterPropagation = fleet.now();
         runWithCrashingRequest(fleet, 10s);
@@ -134,7 +134,7 @@
         fleet.advance(5s);
         INFO("seed " << seed);
         CHECK(othersServed(fleet, after) == othersSent(fleet, after));
-        for (const SentRequest& request : fleet.sent) {
+        for (const SentRequest& request : fleet.sentRequests) {
             if (request.body != crashingBody)
                 CHECK(request.answer->body.find("crashes_endpoints") == std::string::npos);
         }
@@ -155,7 +155,7 @@
         }
         fleet.advance(5s);
         INFO("seed " << seed << ", popular " << fleet.servedFraction("popular") << ", other " << fleet.servedFraction("other"));
-        for (const SentRequest& request : fleet.sent)
+        for (const SentRequest& request : fleet.sentRequests)
             REQUIRE(request.answer->body.find("crash") == std::string::npos);
     }
 }
--- a/unittests/Ingress/EntryFleet.cpp
+++ b/unittests/Ingress/EntryFleet.cpp
@@ -54,8 +54,8 @@
 
     void handleAttempt(SimulatedEndpoint& endpoint, const HttpClientRequest& request, const HttpClientCallbacks& callbacks, const std::shared_ptr<Exchange>& exchange)
     {
-        m_fleet.arrivals.push_back({ *request.headers.find("request-id"), request.body, m_entry, m_fleet.now() });
-        if (m_fleet.random.unit() < m_fleet.refused) {
+        m_fleet.endpointAttempts.push_back({ *request.headers.find("request-id"), request.body, m_entry, m_fleet.now() });
+        if (m_fleet.random.unit() < m_fleet.refusedFraction) {
             m_fleet.scheduler.callAfter(latencyInsideRegion, [exchange, callbacks] {
                 if (exchange->isCancelled)
                     return;
@@ -65,11 +65,11 @@
             });
             return;
         }
-        std::uint64_t number = ++m_fleet.m_requests;
-        endpoint.breakConnection[number] = [exchange, callbacks] { end(*exchange, callbacks, HttpEnd::NoResponse); };
+        std::uint64_t number = ++m_fleet.m_lastRequestNumber;
+        endpoint.connectionBreakers[number] = [exchange, callbacks] { end(*exchange, callbacks, HttpEnd::NoResponse); };
         bool isCrashing = request.body == crashingBody && !m_fleet.isRepaired;
         std::weak_ptr<SimulatedEndpoint> weak = m_fleet.endpointAt(request.server);
-        m_fleet.scheduler.callAfter(isCrashing ? m_fleet.crashesAfter : m_fleet.answersAfter, [this, weak, number, isCrashing, exchange, callbacks, request] {
+        m_fleet.scheduler.callAfter(isCrashing ? m_fleet.crashDelay : m_fleet.answerDelay, [this, weak, number, isCrashing, exchange, callbacks, request] {
             std::shared_ptr<SimulatedEndpoint> at = weak.lock();
             if (!at || !at->isUp)
                 return;
@@ -78,7 +78,7 @@
                 m_fleet.crash(at);
                 return;
             }
-            at->breakConnection.erase(number);
+            at->connectionBreakers.erase(number);
             if (exchange->isCancelled)
                 return;
             FakeHttpAnswer answer = answered(request, 200, "fine");
@@ -286,7 +286,7 @@
 
 void EntryFleet::send(std::size_t entry, const std::string& body, const std::string& host)
 {
-    SentRequest request { "id-" + std::to_string(sent.size()), body, entry, now(), std::make_shared<FakeResponder>() };
+    SentRequest request { "id-" + std::to_string(sentRequests.size()), body, entry, now(), std::make_shared<FakeResponder>() };
     RoutedRequest routed;
     routed.http.method = "POST";
     routed.http.path = "/p/1";
@@ -297,7 +297,7 @@
     routed.arrivedAt = now();
     if (isUp(entry))
         std::make_shared<RoutedRun>(m_entries[entry]->parts, std::move(routed), request.answer)->begin();
-    sent.push_back(std::move(request));
+    sentRequests.push_back(std::move(request));
 }
 
 void EntryFleet::handleForward(std::size_t entry, const HttpClientRequest& request, const std::shared_ptr<PeerResponder>& responder)
@@ -379,7 +379,7 @@
 void EntryFleet::killEntry(std::size_t entry)
 {
     m_entries[entry]->isUp = false;
-    for (const SentRequest& request : sent) {
+    for (const SentRequest& request : sentRequests) {
         if (request.entry == entry && request.answer->isOpen())
             request.answer->leave();
     }
@@ -422,13 +422,13 @@
 void EntryFleet::crash(const std::shared_ptr<SimulatedEndpoint>& endpoint)
 {
     endpoint->isUp = false;
-    for (const auto& [number, breakConnection] : std::exchange(endpoint->breakConnection, {}))
+    for (const auto& [number, breakConnection] : std::exchange(endpoint->connectionBreakers, {}))
         scheduler.callAfter(step / 10, breakConnection);
     scheduler.callAfter(registrationRemovalDelay, [this, endpoint] {
         for (const auto& entry : m_entries)
             entry->parts.endpoints.remove(endpoint->incarnation, now());
     });
-    scheduler.callAfter(restartsAfter, [this, endpoint] {
+    scheduler.callAfter(restartDelay, [this, endpoint] {
         m_endpoints.erase(std::find(m_endpoints.begin(), m_endpoints.end(), endpoint));
         startEndpoint(endpoint->region, endpoint->address);
     });
@@ -463,14 +463,14 @@
 
 std::size_t EntryFleet::attemptsAfter(const std::string& body, TimePoint time) const
 {
-    return static_cast<std::size_t>(std::count_if(arrivals.begin(), arrivals.end(), [&](const Arrival& arrival) { return arrival.body == body && arrival.at > time; }));
+    return static_cast<std::size_t>(std::count_if(endpointAttempts.begin(), endpointAttempts.end(), [&](const EndpointAttempt& attempt) { return attempt.body == body && attempt.at > time; }));
 }
 
 double EntryFleet::servedFraction(const std::string& body, TimePoint from) const
 {
     std::size_t all = 0;
     std::size_t served = 0;
-    for (const SentRequest& request : sent) {
+    for (const SentRequest& request : sentRequests) {
         if (request.body != body || request.at < from)
             continue;
         ++all;
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -21,7 +21,7 @@
     SocketAddress address;
     bool isUp { true };
     /// Callbacks that end the running requests when the endpoint crashes, by request number.
-    std::map<std::uint64_t, std::function<void()>> breakConnection;
+    std::map<std::uint64_t, std::function<void()>> connectionBreakers;
 };
 
 /// A client request that was sent to an entry.
@@ -34,7 +34,7 @@
 };
 
 /// One attempt of a request at an endpoint.
-struct Arrival {
+struct EndpointAttempt {
     std::string request;
     std::string body;
     std::size_t entry { 0 };
@@ -66,11 +66,11 @@
     /// Removes the registration of an entry at all entries.
     void removeRegistration(std::size_t entry);
     /// Starts or ends a network partition between the regions.
-    void cutRegions(bool isPartitioned) { m_areRegionsPartitioned = isPartitioned; }
+    void setRegionsPartitioned(bool isPartitioned) { m_areRegionsPartitioned = isPartitioned; }
     /// Drops all datagrams to and from the entry.
     void dropDatagrams(std::size_t entry) { m_droppingEntries.insert(entry); }
     /// Fraction of the attempts that endpoints refuse.
-    double refused { 0 };
+    double refusedFraction { 0 };
     /// Fraction of the datagrams between entries that are lost.
     double lostFraction { 0 };
     /// Bytes of crash reports that each entry has sent.
@@ -89,14 +89,14 @@
     Random random;
     /// Times at which endpoints crashed because of crashingBody.
     std::vector<TimePoint> crashes;
-    std::vector<Arrival> arrivals;
-    std::vector<SentRequest> sent;
+    std::vector<EndpointAttempt> endpointAttempts;
+    std::vector<SentRequest> sentRequests;
     /// Time that an endpoint takes to answer a request.
-    Duration answersAfter { std::chrono::milliseconds(60) };
+    Duration answerDelay { std::chrono::milliseconds(60) };
     /// Time from the start of a request with crashingBody to the crash of its endpoint.
-    Duration crashesAfter { std::chrono::milliseconds(250) };
+    Duration crashDelay { std::chrono::milliseconds(250) };
     /// Time from the crash of an endpoint to its restart.
-    Duration restartsAfter { std::chrono::milliseconds(3'000) };
+    Duration restartDelay { std::chrono::milliseconds(3'000) };
     /// Endpoints answer crashingBody like any other body.
     bool isRepaired { false };
 
@@ -122,7 +122,7 @@
     std::vector<std::shared_ptr<SimulatedEndpoint>> m_endpoints;
     std::size_t m_endpointStarts { 0 };
     /// Number of the last request at any endpoint.
-    std::uint64_t m_requests { 0 };
+    std::uint64_t m_lastRequestNumber { 0 };
     Route m_route;
     std::shared_ptr<const RouteTable> m_routes;
     std::vector<EntryRecord> m_records;
--- a/unittests/Ingress/IngressFixture.cpp
+++ b/unittests/Ingress/IngressFixture.cpp
@@ -142,7 +142,7 @@
     EndpointRecord record;
     record.incarnation = incarnation;
     record.service = "service";
-    record.address = { "127.0.0.1", static_cast<std::uint16_t>(1'000 + ++m_endpoints) };
+    record.address = { "127.0.0.1", static_cast<std::uint16_t>(1'000 + ++m_endpointCount) };
     record.availabilityZone = zone;
     parts.endpoints.put(std::move(record), scheduler.clock().now());
 }
--- a/unittests/Ingress/IngressFixture.h
+++ b/unittests/Ingress/IngressFixture.h
@@ -51,7 +51,7 @@
     std::vector<std::function<FakeHttpAnswer(const HttpClientRequest&)>> answers;
 
 private:
-    int m_endpoints { 0 };
+    int m_endpointCount { 0 };
 };
 
 } // namespace catkinwing
--- a/unittests/Ingress/LoadExchangeTest.cpp
+++ b/unittests/Ingress/LoadExchangeTest.cpp
@@ -33,8 +33,8 @@
     EndpointTable endpoints { "north", { { "zone-0", "north" }, { "zone-1", "north" } } };
     LoadExchange exchange { endpoints, entries, record };
     std::uint32_t hash { 0 };
-    std::size_t sent { 0 };
-    std::size_t received { 0 };
+    std::size_t datagramsSent { 0 };
+    std::size_t datagramsReceived { 0 };
 };
 
 /// The entries of a region in two zones and the datagrams between them.
@@ -58,7 +58,7 @@
     {
         now += 100ms;
         for (const auto& entry : entries) {
-            if (dead.count(entry->key) > 0)
+            if (deadEntries.count(entry->key) > 0)
                 continue;
             for (const OutgoingDatagram& datagram : entry->exchange.tick(entry->key, now))
                 deliver(*entry, datagram);
@@ -67,12 +67,12 @@
 
     void deliver(ExchangeEntry& from, const OutgoingDatagram& datagram)
     {
-        ++from.sent;
+        ++from.datagramsSent;
         ExchangeEntry& to = *byAddress.at(datagram.to);
         bool isPartitioned = areZonesPartitioned && from.record.availabilityZone != to.record.availabilityZone;
-        if (isPartitioned || dead.count(to.key) > 0)
+        if (isPartitioned || deadEntries.count(to.key) > 0)
             return;
-        ++to.received;
+        ++to.datagramsReceived;
         absl::StatusOr<LoadReport> report = decodeLoadReport(datagram.bytes);
         if (report.ok()) {
             to.exchange.takeReport(*report, now);
@@ -111,7 +111,8 @@
     TimePoint now { 100s };
     std::vector<std::unique_ptr<ExchangeEntry>> entries;
     std::map<SocketAddress, ExchangeEntry*> byAddress;
-    std::set<std::string> dead;
+    /// Keys of the entries that neither send nor receive datagrams.
+    std::set<std::string> deadEntries;
     bool areZonesPartitioned { false };
 };
 
@@ -141,9 +142,9 @@
             world.runRound();
         std::size_t nonCollectors = 0;
         for (const auto& entry : world.entries) {
-            CHECK(entry->sent <= rounds * 120);
-            CHECK(entry->received <= rounds * 120);
-            nonCollectors += entry->sent <= rounds * 2 ? 1 : 0;
+            CHECK(entry->datagramsSent <= rounds * 120);
+            CHECK(entry->datagramsReceived <= rounds * 120);
+            nonCollectors += entry->datagramsSent <= rounds * 2 ? 1 : 0;
         }
         CHECK(nonCollectors + 40 >= count);
     }
@@ -160,7 +161,7 @@
         world.startRequests();
         for (int i = 0; i < 5; ++i)
             world.runRound();
-        world.dead = { deadCollector };
+        world.deadEntries = { deadCollector };
         for (int i = 0; i < 15; ++i)
             world.runRound();
         for (const auto& entry : world.entries) {
@@ -171,7 +172,7 @@
     SimulatedRegion world(100);
     world.startRequests();
     world.runRound();
-    world.dead = collectors;
+    world.deadEntries = collectors;
     for (int i = 0; i < 15; ++i)
         world.runRound();
     for (const auto& entry : world.entries) {
@@ -221,10 +222,10 @@
         world.runRound();
     std::size_t before = 0;
     for (const auto& entry : world.entries)
-        before += entry->sent;
+        before += entry->datagramsSent;
     world.runRound();
     std::size_t after = 0;
     for (const auto& entry : world.entries)
-        after += entry->sent;
+        after += entry->datagramsSent;
     CHECK(after == before);
 }
--- a/unittests/Ingress/RetryBudgetTest.cpp
+++ b/unittests/Ingress/RetryBudgetTest.cpp
@@ -35,9 +35,9 @@
 {
     std::unordered_set<std::string> arrived;
     std::vector<TimePoint> retries;
-    for (const Arrival& arrival : fleet.arrivals) {
-        if (!arrived.insert(arrival.request).second)
-            retries.push_back(arrival.at);
+    for (const EndpointAttempt& attempt : fleet.endpointAttempts) {
+        if (!arrived.insert(attempt.request).second)
+            retries.push_back(attempt.at);
     }
     return retries;
 }
@@ -46,7 +46,7 @@
 {
     std::vector<TimePoint> retries = retriesOf(fleet);
     std::vector<TimePoint> requests;
-    for (const SentRequest& request : fleet.sent)
+    for (const SentRequest& request : fleet.sentRequests)
         requests.push_back(request.at);
     WorstWindow worst;
     for (TimePoint from = requests.front(); from < fleet.now(); from += step) {
@@ -91,7 +91,7 @@
 
 void beginRefusals(EntryFleet& fleet)
 {
-    fleet.refused = 0.55 + 0.2 * fleet.random.unit();
+    fleet.refusedFraction = 0.55 + 0.2 * fleet.random.unit();
 }
 
 void checkWithinBudget(const EntryFleet& fleet, unsigned seed)
@@ -151,7 +151,7 @@
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
         sendFor(fleet, timeBeforeRefusals, 20, anyOfFirstRegion);
-        fleet.cutRegions(true);
+        fleet.setRegionsPartitioned(true);
         for (std::size_t entry = 1; entry < fleet.entries(); ++entry)
             fleet.removeRegistration(entry);
         beginRefusals(fleet);
--- a/unittests/Ingress/RunDecisionsTest.cpp
+++ b/unittests/Ingress/RunDecisionsTest.cpp
@@ -54,8 +54,8 @@
 static RunProgress initialProgress()
 {
     RunProgress progress;
-    progress.maxRuns = 2;
-    progress.hasBudget = true;
+    progress.maxAttempts = 2;
+    progress.hasRetryBudget = true;
     progress.timeLeft = 1s;
     return progress;
 }
@@ -69,9 +69,9 @@
         progress.mayRepeat = bit(0);
         progress.isResumable = bit(0) && bit(1);
         progress.mayHaveRun = bit(2);
-        progress.hasDelivered = bit(2) && bit(3);
-        progress.hasBudget = bit(4);
-        progress.runs = progress.mayHaveRun ? 1 + bit(5) : 0;
+        progress.hasSentHead = bit(2) && bit(3);
+        progress.hasRetryBudget = bit(4);
+        progress.possiblyRunAttempts = progress.mayHaveRun ? 1 + bit(5) : 0;
         AttemptVerdict verdict = bit(6) ? AttemptVerdict::NotRun : AttemptVerdict::Unknown;
         if (verdict == AttemptVerdict::Unknown && !progress.mayHaveRun)
             continue;
@@ -79,12 +79,12 @@
         CAPTURE(bits);
         if (step == NextStep::Retry) {
             CHECK((progress.mayRepeat || !progress.mayHaveRun));
-            CHECK(progress.hasBudget);
-            CHECK((!progress.hasDelivered || progress.isResumable));
+            CHECK(progress.hasRetryBudget);
+            CHECK((!progress.hasSentHead || progress.isResumable));
         }
         if (step == NextStep::RefuseNotRun)
             CHECK_FALSE(progress.mayHaveRun);
-        if (progress.hasDelivered)
+        if (progress.hasSentHead)
             CHECK((step == NextStep::Retry || step == NextStep::Abort));
         else
             CHECK(step != NextStep::Abort);
@@ -96,16 +96,16 @@
     RunProgress progress = initialProgress();
     progress.mayRepeat = true;
     progress.mayHaveRun = true;
-    progress.runs = 1;
+    progress.possiblyRunAttempts = 1;
     CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::Retry);
-    progress.runs = 2;
+    progress.possiblyRunAttempts = 2;
     CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::FailUnknown);
     progress = initialProgress();
-    progress.refusals = 1;
+    progress.notRunAttempts = 1;
     CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::Retry);
-    progress.refusals = 3;
+    progress.notRunAttempts = 3;
     CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::RefuseNotRun);
-    progress.refusals = 1;
+    progress.notRunAttempts = 1;
     progress.timeLeft = 5ms;
     CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::RefuseNotRun);
 }
