--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -12,11 +12,13 @@
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
 static constexpr int firstErrorStatus = 500;
-/// A request waits at most this long for the outcome of an identical one after an
-/// endpoint crashed while running it.
+/// After an endpoint crashed while running a request, an identical request is held at
+/// most this long until it is known whether the first one caused the crash.
 static constexpr milliseconds maxHoldTime { 400 };
+/// Max interval at which a held request checks whether it may be sent.
 static constexpr milliseconds holdCheckInterval { 20 };
-/// After this time it is mostly known whether the request caused the crash.
+/// Retry-after time for a request that is refused after being held. By then it is
+/// usually known whether an identical request caused the crash.
 static constexpr milliseconds retryAfterHold { 1'000 };
 
 const RequestFingerprint& RoutedRun::fingerprint()
@@ -60,7 +62,7 @@
     std::optional<CrashingRequests::RecentCrash> crash = crashing.crashToAwait(fingerprint(), time);
     if (!crash)
         return false;
-    bool isLikelyUnrelated = crash->isOnlyOwn && m_reachedAttempts > 0;
+    bool isLikelyUnrelated = crash->isOnlyOwn && m_possiblyDeliveredAttempts > 0;
     EntryOrder order = m_parts.entries.orderFor(stableHash(fingerprint()), m_route->homeRegions);
     Duration wait = isLikelyUnrelated ? Duration::zero() : crashing.turnOf(fingerprint(), *crash, order, time) - time;
     if (wait <= Duration::zero()) {
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -21,7 +21,7 @@
     SocketAddress address;
     bool isUp { true };
     /// Callbacks that end the running requests when the endpoint crashes, by request number.
-    std::map<std::uint64_t, std::function<void()>> breakConnection;
+    std::map<std::uint64_t, std::function<void()>> connectionBreakers;
 };
 
 /// A client request that was sent to an entry.
@@ -34,7 +34,7 @@
 };
 
 /// One attempt of a request at an endpoint.
-struct Arrival {
+struct EndpointAttempt {
     std::string request;
     std::string body;
     std::size_t entry { 0 };
@@ -43,7 +43,7 @@
 
 class EntryFleet {
 public:
-    /// \p homeRegions are the regions that the route allows; all if empty.
+    /// \p homeRegions are the regions that the route allows. An empty list allows all.
     explicit EntryFleet(unsigned seed, std::size_t entriesPerRegion = 3, std::size_t endpointsPerRegion = 6, std::vector<std::string> homeRegions = {});
     ~EntryFleet();
 
@@ -66,11 +66,11 @@
     /// Removes the registration of an entry at all entries.
     void removeRegistration(std::size_t entry);
     /// Starts or ends a network partition between the regions.
-    void cutRegions(bool isPartitioned) { m_areRegionsPartitioned = isPartitioned; }
+    void setRegionsPartitioned(bool isPartitioned) { m_areRegionsPartitioned = isPartitioned; }
     /// Drops all datagrams to and from the entry.
     void dropDatagrams(std::size_t entry) { m_droppingEntries.insert(entry); }
     /// Fraction of the attempts that endpoints refuse.
-    double refused { 0 };
+    double refusedFraction { 0 };
     /// Fraction of the datagrams between entries that are lost.
     double lostFraction { 0 };
     /// Bytes of crash reports that each entry has sent.
@@ -89,13 +89,14 @@
     Random random;
     /// Times at which endpoints crashed because of crashingBody.
     std::vector<TimePoint> crashes;
-    std::vector<Arrival> arrivals;
-    std::vector<SentRequest> sent;
-    /// Time that an endpoint takes to answer a request, time from the start of a request with
-    /// crashingBody to the crash, and time from a crash to the restart.
-    Duration answersAfter { std::chrono::milliseconds(60) };
-    Duration crashesAfter { std::chrono::milliseconds(250) };
-    Duration restartsAfter { std::chrono::milliseconds(3'000) };
+    std::vector<EndpointAttempt> endpointAttempts;
+    std::vector<SentRequest> sentRequests;
+    /// Time that an endpoint takes to answer a request.
+    Duration answerDelay { std::chrono::milliseconds(60) };
+    /// Time from the start of a request with crashingBody to the crash of its endpoint.
+    Duration crashDelay { std::chrono::milliseconds(250) };
+    /// Time from the crash of an endpoint to its restart.
+    Duration restartDelay { std::chrono::milliseconds(3'000) };
     /// Endpoints answer crashingBody like any other body.
     bool isRepaired { false };
 
@@ -120,7 +121,8 @@
     std::vector<std::unique_ptr<Entry>> m_replacedEntries;
     std::vector<std::shared_ptr<SimulatedEndpoint>> m_endpoints;
     std::size_t m_endpointStarts { 0 };
-    std::uint64_t m_requests { 0 };
+    /// Number of the last request at any endpoint.
+    std::uint64_t m_lastRequestNumber { 0 };
     Route m_route;
     std::shared_ptr<const RouteTable> m_routes;
     std::vector<EntryRecord> m_records;
--- a/unittests/Ingress/RetryBudgetTest.cpp
+++ b/unittests/Ingress/RetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-// Tests of the retry budget: retries of all entries together while endpoints refuse requests.
+// Tests the number of retries of all entries together while endpoints refuse requests.
 #include "EntryFleet.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 namespace {
 
 /// The window of ten seconds in which the number of retries exceeds the allowed number
-/// the most. A retry is an arrival at an endpoint after the first of the same request.
+/// the most. Every attempt of a request at an endpoint but the first is a retry.
 struct WorstWindow {
     std::size_t retries { 0 };
     double allowed { 0 };
@@ -35,9 +35,9 @@
 {
     std::unordered_set<std::string> arrived;
     std::vector<TimePoint> retries;
-    for (const Arrival& arrival : fleet.arrivals) {
-        if (!arrived.insert(arrival.request).second)
-            retries.push_back(arrival.at);
+    for (const EndpointAttempt& attempt : fleet.endpointAttempts) {
+        if (!arrived.insert(attempt.request).second)
+            retries.push_back(attempt.at);
     }
     return retries;
 }
@@ -46,7 +46,7 @@
 {
     std::vector<TimePoint> retries = retriesOf(fleet);
     std::vector<TimePoint> requests;
-    for (const SentRequest& request : fleet.sent)
+    for (const SentRequest& request : fleet.sentRequests)
         requests.push_back(request.at);
     WorstWindow worst;
     for (TimePoint from = requests.front(); from < fleet.now(); from += step) {
@@ -91,7 +91,7 @@
 
 void beginRefusals(EntryFleet& fleet)
 {
-    fleet.refused = 0.55 + 0.2 * fleet.random.unit();
+    fleet.refusedFraction = 0.55 + 0.2 * fleet.random.unit();
 }
 
 void checkWithinBudget(const EntryFleet& fleet, unsigned seed)
@@ -103,8 +103,9 @@
 
 } // namespace
 
-// Guards against counting the budget twice: entries use the budget of requests from
-// clients that have moved, and the entries that now serve the clients get it again.
+// Guards against using the same budget twice. When clients move to entries of another
+// region, their earlier requests still count at the old entries, and their new requests
+// add to the budget of the new entries.
 TEST_CASE("retries stay within the budget of all requests while clients move to entries of another region")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
@@ -150,7 +151,7 @@
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
         sendFor(fleet, timeBeforeRefusals, 20, anyOfFirstRegion);
-        fleet.cutRegions(true);
+        fleet.setRegionsPartitioned(true);
         for (std::size_t entry = 1; entry < fleet.entries(); ++entry)
             fleet.removeRegistration(entry);
         beginRefusals(fleet);
