--- a/include/catkinwing/Ingress/Dialect.h
+++ b/include/catkinwing/Ingress/Dialect.h
@@ -41,7 +41,8 @@
     /// Expected incarnation; an endpoint with another one refuses the request.
     std::string incarnation;
     std::chrono::milliseconds timeLeft { 0 };
-    /// Replaces RequestFacts::resumeAfter.
+    /// Number of the event after which the endpoint resumes the stream. Overrides the number
+    /// in the client's request.
     std::optional<std::uint64_t> resumeAfter;
     /// Priority, zero being the most urgent. Without a value the endpoint chooses.
     std::optional<int> urgency;
@@ -53,7 +54,7 @@
     bool isEndpointAnswer { false };
     /// The endpoint states that it has not executed the request and will not do so.
     bool wasNotRun { false };
-    /// The address belongs to another incarnation.
+    /// The endpoint at the address has another incarnation than the request expects.
     bool isOtherIncarnation { false };
     /// The endpoint is leaving and accepts no further requests.
     bool isLeaving { false };
@@ -75,7 +76,8 @@
     bool isLeaving { false };
     /// Time until the endpoint terminates, if that is sooner than after an orderly drain.
     std::optional<std::chrono::milliseconds> goneIn;
-    /// Remaining time for which the endpoint is cold.
+    /// Remaining time for which the endpoint is cold, that is, sustains only a limited
+    /// request rate.
     std::chrono::milliseconds coldFor { 0 };
     unsigned slots { 0 };
 };
@@ -91,7 +93,7 @@
 struct StoreLayout {
     /// Key of the document of all routes and services.
     std::string configurationKey;
-    /// Prefix of one key for each availability zone that is evacuated.
+    /// Prefix of the keys of evacuated availability zones; the rest of the key is the zone.
     std::string evacuationPrefix;
     /// Prefix of the endpoints' registrations; the rest of the key is the incarnation.
     std::string endpointPrefix;
--- a/include/catkinwing/Ingress/EndpointTable.h
+++ b/include/catkinwing/Ingress/EndpointTable.h
@@ -39,13 +39,15 @@
     std::string region;
     /// The endpoint has asked this entry to send no requests until this time.
     TimePoint pausedUntil {};
-    /// Never reset to false; a new start under the same name is another RoutedEndpoint.
+    /// The endpoint is leaving and gets no new requests. Never reset to false, since a new
+    /// start under the same name is another RoutedEndpoint.
     bool isLeaving { false };
     /// The registration under the endpoint's name can't be parsed. The endpoint isn't
     /// used until a valid registration arrives.
     bool isUnreadable { false };
     /// The registration disappeared during an outage of the store.
     bool isMissing { false };
+    /// Until this time the endpoint gets requests only at the rate of coldRateLimit.
     TimePoint coldUntil {};
     /// End of the time for which the endpoint is suspect after a failure.
     TimePoint suspectUntil {};
@@ -81,7 +83,7 @@
     double events { 0 };
     /// Incarnations at which the request has been attempted.
     const std::vector<std::string>* tried { nullptr };
-    /// Allows an endpoint that is listed in tried, as a suspect candidate.
+    /// Whether an endpoint that is listed in tried may be chosen, ranked like a suspect one.
     bool mayBeTried { false };
     /// Limit of the wait, above which an endpoint counts as too busy; null for no limit.
     const WaitDemand* demand { nullptr };
@@ -122,6 +124,7 @@
     /// Chooses an endpoint of this region for a request. Charges the request to the rate
     /// limit of the endpoint if that is cold. Returns null if no endpoint is eligible.
     std::shared_ptr<RoutedEndpoint> choose(const EndpointRequest& request, TimePoint now, Random& random);
+    /// Records the start of an attempt at the endpoint.
     void noteBegan(RoutedEndpoint& endpoint, TimePoint now) const;
     /// Calls the abort callbacks of the attempts at unresponsive endpoints. Attempts that must
     /// not be retried stay in flight.
--- a/include/catkinwing/Ingress/EntryTable.h
+++ b/include/catkinwing/Ingress/EntryTable.h
@@ -19,7 +19,9 @@
 struct EntryRecord {
     std::string region;
     std::string availabilityZone;
+    /// Address at which the entry serves clients.
     SocketAddress clients;
+    /// Address at which the entry serves other entries.
     SocketAddress peers;
 };
 
@@ -111,7 +113,8 @@
 
     std::map<std::string, Entry> m_entries;
     RecentMaximum m_recentSize { std::chrono::minutes(10) };
-    /// Number of addresses as of m_countedChanges.
+    /// Number of distinct entry addresses, counted when the counter of changes had the value
+    /// of the next member.
     std::size_t m_addresses { 0 };
     std::optional<std::uint64_t> m_countedChanges;
     std::uint64_t m_changes { 0 };
--- a/include/catkinwing/Ingress/RelayedStore.h
+++ b/include/catkinwing/Ingress/RelayedStore.h
@@ -9,7 +9,7 @@
 
 namespace catkinwing {
 
-/// Callbacks by which a RelayedStore selects other entries and reports about them.
+/// Callbacks by which a RelayedStore selects other entries and reports failures.
 struct RelayCallbacks {
     /// Returns the entry to request changes from; nothing if this entry is to
     /// watch the store directly.
--- a/lib/Ingress/EndpointTable.cpp
+++ b/lib/Ingress/EndpointTable.cpp
@@ -208,7 +208,8 @@
         const std::string& zone = endpoint->record.availabilityZone;
         bool isRestored = m_evacuated.count(zone) > 0 && zones.count(zone) == 0;
         const ServiceSettings* service = routes ? routes->findService(endpoint->record.service) : nullptr;
-        // The endpoint had no requests, and may have been restarted in the meantime.
+        // The endpoint got no requests during the evacuation and may have been restarted, so
+        // it is treated as cold.
         if (isRestored && service)
             endpoint->coldUntil = std::max(endpoint->coldUntil, now + service->warmup);
     }
@@ -273,7 +274,8 @@
     ++endpoint.inFlight;
 }
 
-// A crashed, paused or partitioned endpoint is detected only by its silence.
+// An endpoint that crashed, is paused or is partitioned may report no error, and is then
+// detected only because it sends nothing.
 bool EndpointTable::isLocallySuspect(const RoutedEndpoint& endpoint, TimePoint now)
 {
     bool isSilent = endpoint.inFlight > 0 && now - endpoint.silentSince > maxSilence;
--- a/lib/Ingress/IngressDaemon.cpp
+++ b/lib/Ingress/IngressDaemon.cpp
@@ -57,7 +57,7 @@
 static constexpr milliseconds loadReportInterval { 100 };
 /// Connections that break within this time are covered by one crash report.
 static constexpr milliseconds urgentReportDelay { 2 };
-/// A region report is sent once in this many load report intervals.
+/// Number of load report intervals between two region reports.
 static constexpr std::uint64_t loadReportsPerRegionReport = 2;
 /// Each region report goes to this many other regions, from a random one on, and to
 /// this many random entries of each: at most six datagrams of about 100 bytes.
--- a/lib/Ingress/RelayedStore.cpp
+++ b/lib/Ingress/RelayedStore.cpp
@@ -12,10 +12,10 @@
 /// than the 3 s after which no request may be sent to a leaving endpoint. The store
 /// answers a working watch every 1.2 s, a few tenths of a second later if it is slow.
 static constexpr milliseconds maxAge { 2'000 };
-/// Timeout of a request for an immediate answer. It is short, since it delays the
-/// recovery of an entry whose data is too old.
+/// Timeout of a request to a relay for an immediate answer. The timeout is short, since it
+/// delays the recovery of an entry whose data is too old.
 static constexpr milliseconds immediateAnswerTimeout { 400 };
-/// Max time between two reads of an answer.
+/// Max time between two reads from the connection while a relay's answer arrives.
 static constexpr milliseconds relayIdleTimeout { 300 };
 static constexpr milliseconds relayConnectTimeout { 300 };
 static constexpr milliseconds bootstrapTimeout { 1'200 };
@@ -75,7 +75,8 @@
     Scheduler& scheduler;
     RelayCallbacks relayCallbacks;
     StoreMirror mirror;
-    /// Number of direct watches: a new one starts before the broken one is dropped.
+    /// Number of direct watches. There may be two for a moment, since a new watch starts
+    /// before the broken one is dropped.
     unsigned directWatches { 0 };
     bool hasStopped { false };
     TimePoint directUntil {};
@@ -217,7 +218,8 @@
             m_store.relayCallbacks.recordHistoryGap();
         if (!events.empty())
             applyEvents(events);
-        // The last revisions may have no change that is still in force.
+        // The answer's own revision may be later than that of its last change, since later
+        // changes may have cancelled each other.
         m_lastRevision = std::max(m_lastRevision, changes->revision);
         notifyCurrent();
         if (!m_isClosed)
--- a/lib/Ingress/StoreFollower.cpp
+++ b/lib/Ingress/StoreFollower.cpp
@@ -13,12 +13,12 @@
 /// are removed.
 static constexpr milliseconds missingGracePeriod { 2'300 };
 static constexpr milliseconds firstRetryDelay { 200 };
-/// Together with the grace period this stays below the five seconds that an entry
-/// has to recover. A shorter delay costs more calls, which are billed also while the
+/// Max delay between retries of the store. Together with the grace period it stays below
+/// the five seconds within which an entry must recover. A shorter delay costs more calls, which are billed also while the
 /// store is unreachable.
 static constexpr milliseconds maxRetryDelay { 1'500 };
-/// The store client detects an unresponsive watch itself, so watches need no renewal
-/// and this interval is long.
+/// Interval at which watches are renewed. The interval is long because the store client
+/// detects an unresponsive watch itself.
 static constexpr std::chrono::hours watchRenewalInterval { 24 };
 /// Min interval between log lines about registrations that can't be parsed.
 static constexpr milliseconds refusalLogInterval { 1'000 };
--- a/unittests/Ingress/EndpointTableTest.cpp
+++ b/unittests/Ingress/EndpointTableTest.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A table with a service whose cold endpoints sustain ten requests per second.
+/// An EndpointTable with a service whose cold endpoints sustain ten requests per second.
 struct TableFixture {
     TableFixture()
     {
--- a/unittests/Ingress/RelayedStoreTest.cpp
+++ b/unittests/Ingress/RelayedStoreTest.cpp
@@ -288,7 +288,7 @@
     CHECK(fixture.historyGaps > 0);
     CHECK_FALSE(fixture.follower.store.isDirect());
     CHECK(fixture.follower.watchEnds == 0);
-    // One listing and one watch, both by the relay.
+    // The store received one listing and one watch, both from the relay.
     CHECK(fixture.shared.calls(StoreCallGroup::Read) == reads + 2);
 }
 
@@ -362,7 +362,8 @@
     CHECK(changes->changes[2].isDeletion);
     CHECK(changes->changes[2].revision == 20);
     CHECK_FALSE(mirror.changesAfter(9));
-    // Event from a resumed watch that is older than the listing, and an old listing.
+    // The mirror ignores an event from a resumed watch that is older than the listing, and
+    // an old listing.
     mirror.applyEvents({ { false, { "b", "1", 18 } } });
     mirror.applyListing({ {}, 15 });
     CHECK(mirror.changesAfter(0)->changes.size() == 2);
@@ -381,7 +382,7 @@
     CHECK_FALSE(mirror.changesAfter(13));
     CHECK_FALSE(mirror.changesAfter(19));
     CHECK(mirror.changesAfter(20));
-    // A second gap doesn't make the first one known.
+    // After a second gap, revisions inside the first one are still refused.
     mirror.applyEvents({ { false, { "c", "1", 22 } } });
     mirror.applyListing({ { { "a", "2", 18 } }, 30 });
     CHECK_FALSE(mirror.changesAfter(13));
--- a/unittests/Ingress/StoreZone.cpp
+++ b/unittests/Ingress/StoreZone.cpp
@@ -7,7 +7,7 @@
 
 using std::chrono::milliseconds;
 
-/// Timeouts of the platform's store client.
+/// Timeouts that the platform's store client uses.
 static constexpr milliseconds watchTimeout { 1'600 };
 static constexpr milliseconds callTimeout { 1'000 };
 static constexpr milliseconds refusalTime { 10 };
--- a/unittests/Ingress/StoreZone.h
+++ b/unittests/Ingress/StoreZone.h
@@ -21,7 +21,7 @@
     Partitioned,
     /// The process is paused.
     Paused,
-    /// The process is killed. When the fault ends, it starts without data.
+    /// The process is killed. When the fault ends, a new process starts without data.
     Killed,
 };
 
--- a/unittests/Platform/ServedPathTest.cpp
+++ b/unittests/Platform/ServedPathTest.cpp
@@ -1,4 +1,5 @@
-// Runs an entry between clients and the platform's stand-ins, over real HTTP.
+// Tests an entry that serves clients over real HTTP, with stand-ins (test servers) in place
+// of the platform's store and endpoints.
 #include "PlatformFixture.h"
 
 #include "catkinwing/Ingress/IngressDaemon.h"
