--- a/include/catkinwing/Ingress/EndpointTable.h
+++ b/include/catkinwing/Ingress/EndpointTable.h
@@ -214,7 +214,7 @@
     static EndpointDemand demandOf(const EndpointRequest& request);
     bool isUsable(const RoutedEndpoint& endpoint) const;
     /// Returns whether the endpoint is usable and not paused.
-    bool isOpen(const RoutedEndpoint& endpoint, TimePoint now) const { return isUsable(endpoint) && now >= endpoint.pausedUntil; }
+    bool isAvailable(const RoutedEndpoint& endpoint, TimePoint now) const { return isUsable(endpoint) && now >= endpoint.pausedUntil; }
     static std::string startName(const EndpointRecord& record);
     bool hasAnnouncedLeaving(const EndpointRecord& record, TimePoint now) const;
     bool isOutdated(const EndpointRecord& record) const;
@@ -222,7 +222,7 @@
     void addToService(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service);
     void detach(const std::string& incarnation);
     bool hasFreeConnection(const RoutedEndpoint& endpoint, const ServiceSettings& service) const;
-    bool tryTakeColdRequest(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const;
+    bool tryTakeColdToken(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const;
 
     std::string m_region;
     std::map<std::string, std::string> m_regionOfZone;
@@ -232,9 +232,9 @@
     absl::flat_hash_map<std::string, Endpoints> m_endpointsByService;
     /// Response times of each service, shared by its endpoints.
     absl::flat_hash_map<std::string, std::shared_ptr<AnswerTimes>> m_serviceTimes;
-    std::set<std::string> m_evacuated;
+    std::set<std::string> m_evacuatedZones;
     std::vector<std::string> m_entriesOfRegion;
-    std::string m_self;
+    std::string m_ownName;
     PeerLoads m_peerLoads;
     PartHolders m_segmentHolders;
     PartRegions m_segmentRegions;
--- a/include/catkinwing/Ingress/EntryTable.h
+++ b/include/catkinwing/Ingress/EntryTable.h
@@ -97,7 +97,7 @@
     /// still serve requests although they are no longer listed.
     std::size_t recentSize(TimePoint now);
     /// Returns a counter that increases whenever an entry is registered or removed.
-    std::uint64_t changes() const { return m_changes; }
+    std::uint64_t changes() const { return m_changeCount; }
 
 private:
     struct Entry {
@@ -108,16 +108,16 @@
     EntryRecord m_self;
     struct Departed {
         EntryRecord record;
-        TimePoint at {};
+        TimePoint removedAt {};
     };
 
     std::map<std::string, Entry> m_entries;
     RecentMaximum m_recentSize { std::chrono::minutes(10) };
-    /// Number of distinct entry addresses, counted when the counter of changes had the value
-    /// of the next member.
-    std::size_t m_addresses { 0 };
-    std::optional<std::uint64_t> m_countedChanges;
-    std::uint64_t m_changes { 0 };
+    /// Number of distinct entry addresses.
+    std::size_t m_addressCount { 0 };
+    /// Value of m_changeCount at which m_addressCount was computed.
+    std::optional<std::uint64_t> m_addressCountVersion;
+    std::uint64_t m_changeCount { 0 };
     /// Entries that were removed a short while ago.
     std::vector<Departed> m_departed;
     std::map<SocketAddress, TimePoint> m_suspectUntil;
--- a/include/catkinwing/Ingress/RelayedStore.h
+++ b/include/catkinwing/Ingress/RelayedStore.h
@@ -32,7 +32,7 @@
 class RelayedStore final : public Store {
 public:
     /// All references must outlive the store.
-    RelayedStore(Store& direct, HttpClient& peers, Scheduler& scheduler, RelayCallbacks relayCallbacks);
+    RelayedStore(Store& directStore, HttpClient& peerClient, Scheduler& scheduler, RelayCallbacks relayCallbacks);
     ~RelayedStore() override;
     RelayedStore(const RelayedStore&) = delete;
     RelayedStore& operator=(const RelayedStore&) = delete;
--- a/lib/Ingress/EndpointTable.cpp
+++ b/lib/Ingress/EndpointTable.cpp
@@ -206,22 +206,22 @@
 {
     for (const auto& [incarnation, endpoint] : m_endpoints) {
         const std::string& zone = endpoint->record.availabilityZone;
-        bool isRestored = m_evacuated.count(zone) > 0 && zones.count(zone) == 0;
+        bool isRestored = m_evacuatedZones.count(zone) > 0 && zones.count(zone) == 0;
         const ServiceSettings* service = routes ? routes->findService(endpoint->record.service) : nullptr;
         // The endpoint got no requests during the evacuation and may have been restarted, so
         // it is treated as cold.
         if (isRestored && service)
             endpoint->coldUntil = std::max(endpoint->coldUntil, now + service->warmup);
     }
-    if (zones != m_evacuated)
+    if (zones != m_evacuatedZones)
         logChange(LogLevel::Info, "evacuated_zones_changed", { { "zones", zones } });
-    m_evacuated = std::move(zones);
+    m_evacuatedZones = std::move(zones);
 }
 
 void EndpointTable::setEntriesOfRegion(std::vector<std::string> entries, std::string self)
 {
     m_entriesOfRegion = std::move(entries);
-    m_self = std::move(self);
+    m_ownName = std::move(self);
 }
 
 void EndpointTable::setColdTolerance(double ratio, double slack)
@@ -333,7 +333,7 @@
 
 bool EndpointTable::isUsable(const RoutedEndpoint& endpoint) const
 {
-    return !endpoint.isLeaving && !endpoint.isUnreadable && m_evacuated.count(endpoint.record.availabilityZone) == 0;
+    return !endpoint.isLeaving && !endpoint.isUnreadable && m_evacuatedZones.count(endpoint.record.availabilityZone) == 0;
 }
 
 double EndpointTable::failureShareOf(const RoutedEndpoint& endpoint, TimePoint now)
@@ -366,7 +366,7 @@
     if (found == m_endpointsByService.end())
         return counts;
     for (const auto& endpoint : found->second) {
-        if (isOpen(*endpoint, now) && !endpoint->region.empty())
+        if (isAvailable(*endpoint, now) && !endpoint->region.empty())
             ++counts[endpoint->region];
     }
     return counts;
--- a/lib/Ingress/EndpointTableChoice.cpp
+++ b/lib/Ingress/EndpointTableChoice.cpp
@@ -76,7 +76,7 @@
     return endpoint.inFlight < share;
 }
 
-bool EndpointTable::tryTakeColdRequest(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const
+bool EndpointTable::tryTakeColdToken(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const
 {
     if (now >= endpoint.coldUntil || service.coldRequestsPerSecond <= 0) {
         endpoint.coldRateLimit.reset();
@@ -84,7 +84,7 @@
     }
     SharedRate totalRate = m_coldTolerance;
     totalRate.perSecond = service.coldRequestsPerSecond;
-    RateShare share = divideRate(m_entriesOfRegion, m_self, endpoint.record.incarnation, totalRate);
+    RateShare share = divideRate(m_entriesOfRegion, m_ownName, endpoint.record.incarnation, totalRate);
     if (share.burst <= 0)
         return false;
     TokenRate rate { share.perSecond, share.burst };
@@ -116,7 +116,7 @@
     std::vector<EndpointCandidate> candidates;
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
         const RoutedEndpoint& endpoint = *endpoints[i];
-        if (endpoint.region != m_region || !isOpen(endpoint, now) || !hasFreeConnection(endpoint, *request.service))
+        if (endpoint.region != m_region || !isAvailable(endpoint, now) || !hasFreeConnection(endpoint, *request.service))
             continue;
         const std::vector<std::string>& tried = *request.tried;
         bool wasTried = std::find(tried.begin(), tried.end(), endpoint.record.incarnation) != tried.end();
@@ -130,7 +130,7 @@
     }
     EndpointDemand demand = demandOf(request);
     while (std::optional<std::size_t> index = chooseEndpoint(candidates, demand, random)) {
-        if (tryTakeColdRequest(*endpoints[*index], *request.service, now))
+        if (tryTakeColdToken(*endpoints[*index], *request.service, now))
             return endpoints[*index];
         candidates.erase(std::find_if(candidates.begin(), candidates.end(), [&](const auto& candidate) { return candidate.index == *index; }));
     }
@@ -151,7 +151,7 @@
     Duration events { 0 };
     for (const auto& endpoint : found->second) {
         bool isCold = now < endpoint->coldUntil && service.coldRequestsPerSecond > 0;
-        if (endpoint->region != m_region || !isOpen(*endpoint, now) || isCold || isSuspect(*endpoint, now))
+        if (endpoint->region != m_region || !isAvailable(*endpoint, now) || isCold || isSuspect(*endpoint, now))
             continue;
         AnswerEstimate estimate = responseEstimateOf(*endpoint, now);
         waits.push_back(waitAt(*endpoint, estimate, workOf(*endpoint), service));
--- a/lib/Ingress/EndpointTableSegments.cpp
+++ b/lib/Ingress/EndpointTableSegments.cpp
@@ -64,7 +64,7 @@
     std::uint32_t segment = partHash(sharedSegment);
     std::optional<Duration> shortest;
     for (const auto& endpoint : found->second) {
-        if (endpoint->region != m_region || !m_segmentHolders.holds(endpoint->hash, segment) || !isOpen(*endpoint, now) || isSuspect(*endpoint, now))
+        if (endpoint->region != m_region || !m_segmentHolders.holds(endpoint->hash, segment) || !isAvailable(*endpoint, now) || isSuspect(*endpoint, now))
             continue;
         Duration wait = waitAt(*endpoint, responseEstimateOf(*endpoint, now), workOf(*endpoint), service);
         if (!shortest || wait < *shortest)
--- a/lib/Ingress/EntryTable.cpp
+++ b/lib/Ingress/EntryTable.cpp
@@ -56,20 +56,20 @@
     if (isNew)
         logChange(LogLevel::Info, "entry_added", { { "entry", key }, { "zone", record.availabilityZone }, { "entries", m_entries.size() + 1 } });
     m_entries[key] = Entry { std::move(record), false };
-    ++m_changes;
+    ++m_changeCount;
 }
 
 // Counts addresses because a restarted entry has two registrations until its old lease expires.
 std::size_t EntryTable::recentSize(TimePoint now)
 {
-    if (m_countedChanges != m_changes) {
+    if (m_addressCountVersion != m_changeCount) {
         std::set<SocketAddress> addresses;
         for (const auto& [key, entry] : m_entries)
             addresses.insert(entry.record.peers);
-        m_addresses = addresses.size();
-        m_countedChanges = m_changes;
+        m_addressCount = addresses.size();
+        m_addressCountVersion = m_changeCount;
     }
-    return m_recentSize.take(m_addresses, now);
+    return m_recentSize.take(m_addressCount, now);
 }
 
 EntryOrder EntryTable::orderFor(std::uint64_t subject, const std::vector<std::string>& regions) const
@@ -88,12 +88,12 @@
 void EntryTable::remove(const std::string& key, TimePoint now)
 {
     recentSize(now);
-    auto isExpired = [now](const Departed& departed) { return now - departed.at > departedRetention; };
+    auto isExpired = [now](const Departed& departed) { return now - departed.removedAt > departedRetention; };
     m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isExpired), m_departed.end());
     auto found = m_entries.find(key);
     if (found != m_entries.end())
         m_departed.push_back({ found->second.record, now });
-    ++m_changes;
+    ++m_changeCount;
     if (m_entries.erase(key) > 0)
         logChange(LogLevel::Info, "entry_removed", { { "entry", key }, { "entries", m_entries.size() } });
 }
@@ -146,7 +146,7 @@
     }
     for (const Departed& departed : m_departed) {
         bool isAllowed = departed.record.region == region || contains(homes.regions, departed.record.region);
-        if (isAllowed && !homes.regions.empty() && now - departed.at <= shutdownTime)
+        if (isAllowed && !homes.regions.empty() && now - departed.removedAt <= shutdownTime)
             addOnce(leaving, departed.record.clients);
     }
     for (std::vector<SocketAddress>* group : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
@@ -177,7 +177,7 @@
 {
     std::vector<SocketAddress> peers;
     for (const Departed& departed : m_departed) {
-        if (departed.record.region == region && now - departed.at <= departedRetention)
+        if (departed.record.region == region && now - departed.removedAt <= departedRetention)
             addOnce(peers, departed.record.peers);
     }
     if (peers.empty())
--- a/lib/Ingress/IngressDaemon.cpp
+++ b/lib/Ingress/IngressDaemon.cpp
@@ -86,8 +86,8 @@
         , self { settings.region, settings.availabilityZone, settings.listen.callers, settings.listen.peers }
         , parts { eventLoop, random, *endpointClient, *peerClient, metrics, log, dialect, settings.region,
             EndpointTable(settings.region, ingress.regionOfZone), EntryTable(self), { ingress.retryRatio, ingress.retrySlack }, {}, {}, {}, {}, {}, {}, {}, 0, 0, CrashingRequests(random.bits()) }
-        , loads(parts.endpoints, parts.entries, self)
-        , crashes(parts.crashing, parts.entries, self, random)
+        , loadExchange(parts.endpoints, parts.entries, self)
+        , crashExchange(parts.crashing, parts.entries, self, random)
         , registration(*store, eventLoop, registrationOptions())
         , relayedStore(*store, *peerClient, eventLoop, relayCallbacks())
         , follower(relayedStore, eventLoop, random, entryPrefix, parts, [this](const std::string& key) {
@@ -168,16 +168,16 @@
     std::unique_ptr<Store> store;
     EntryRecord self;
     IngressParts parts;
-    LoadExchange loads;
-    CrashExchange crashes;
+    LoadExchange loadExchange;
+    CrashExchange crashExchange;
     EntryRegistration registration;
     RelayedStore relayedStore;
     StoreFollower follower;
-    std::unique_ptr<HttpServer> clients;
-    std::unique_ptr<HttpServer> peers;
-    std::unique_ptr<HttpServer> readiness;
-    std::unique_ptr<HttpServer> directory;
-    std::unique_ptr<HttpServer> operators;
+    std::unique_ptr<HttpServer> clientServer;
+    std::unique_ptr<HttpServer> peerServer;
+    std::unique_ptr<HttpServer> readinessServer;
+    std::unique_ptr<HttpServer> directoryServer;
+    std::unique_ptr<HttpServer> operatorServer;
     std::unique_ptr<DatagramSocket> loadReportSocket;
     /// Sender of the last load report or digest. Reports are sent from the address at
     /// which an entry serves other entries.
@@ -212,11 +212,11 @@
         HttpHandler handler;
     };
     Listener listeners[] = {
-        { settings.listen.callers, &clients, [this](HttpRequest request, Responder responder) { handleRequest(std::move(request), std::move(responder), false); } },
-        { settings.listen.peers, &peers, [this](HttpRequest request, Responder responder) { handleRequest(std::move(request), std::move(responder), true); } },
-        { ingress.readiness, &readiness, [this](const HttpRequest& request, const Responder& responder) { answerReadiness(request, *responder); } },
-        { ingress.directory, &directory, [this](const HttpRequest& request, const Responder& responder) { answerDirectory(request, *responder); } },
-        { settings.listen.operators, &operators, [this](const HttpRequest& request, const Responder& responder) { answerOperator(request, *responder); } },
+        { settings.listen.callers, &clientServer, [this](HttpRequest request, Responder responder) { handleRequest(std::move(request), std::move(responder), false); } },
+        { settings.listen.peers, &peerServer, [this](HttpRequest request, Responder responder) { handleRequest(std::move(request), std::move(responder), true); } },
+        { ingress.readiness, &readinessServer, [this](const HttpRequest& request, const Responder& responder) { answerReadiness(request, *responder); } },
+        { ingress.directory, &directoryServer, [this](const HttpRequest& request, const Responder& responder) { answerDirectory(request, *responder); } },
+        { settings.listen.operators, &operatorServer, [this](const HttpRequest& request, const Responder& responder) { answerOperator(request, *responder); } },
     };
     absl::StatusOr<std::unique_ptr<DatagramSocket>> socket = DatagramSocket::bind(loop, settings.listen.peers,
         [this](const SocketAddress& from, absl::string_view bytes) { receiveLoadReport(from, bytes); });
@@ -323,9 +323,9 @@
     }
     lastReportSender = from;
     if (report.ok())
-        loads.takeReport(std::move(*report), loop.clock().now());
+        loadExchange.takeReport(std::move(*report), loop.clock().now());
     else
-        loads.takeDigest(std::move(*digest), loop.clock().now());
+        loadExchange.takeDigest(std::move(*digest), loop.clock().now());
 }
 
 void IngressDaemon::Impl::receiveRegionReport(const SocketAddress& from, absl::string_view bytes)
@@ -333,7 +333,7 @@
     absl::StatusOr<RegionReport> report = decodeRegionReport(bytes);
     absl::StatusOr<CrashReport> crashReport = decodeCrashReport(report.ok() ? absl::string_view() : bytes);
     if (crashReport.ok())
-        crashes.take(from, *crashReport, loop.clock().now());
+        crashExchange.take(from, *crashReport, loop.clock().now());
     else if (!report.ok())
         metrics.count("load_reports_refused");
     else if (report->region != settings.region)
@@ -344,7 +344,7 @@
 // is limited, so that the reports received don't grow with the sender's region.
 void IngressDaemon::Impl::reportRegion()
 {
-    if (!isReady() || loads.sequence() % loadReportsPerRegionReport != 0)
+    if (!isReady() || loadExchange.sequence() % loadReportsPerRegionReport != 0)
         return;
     auto entriesInRegion = static_cast<double>(parts.entries.keysOfRegion(settings.region).size());
     if (random.unit() * entriesInRegion > expectedRegionReporters)
@@ -352,7 +352,7 @@
     std::vector<std::string> regions = parts.entries.otherRegions();
     if (regions.empty())
         return;
-    RegionReport report { settings.region, ownKey(), loads.sequence(), {} };
+    RegionReport report { settings.region, ownKey(), loadExchange.sequence(), {} };
     for (const ServiceSettings& service : parts.routes->services())
         report.services.push_back(parts.endpoints.outlook(service, loop.clock().now()));
     std::string bytes = encodeRegionReport(report);
@@ -377,13 +377,13 @@
 // them into one report.
 void IngressDaemon::Impl::scheduleUrgentReport()
 {
-    loop.callAfter(urgentReportDelay, [this] { send(crashes.tellUrgent(loop.clock().now())); });
+    loop.callAfter(urgentReportDelay, [this] { send(crashExchange.tellUrgent(loop.clock().now())); });
 }
 
 void IngressDaemon::Impl::reportLoad()
 {
-    send(loads.tick(ownKey(), loop.clock().now()));
-    send(crashes.tick(loop.clock().now()));
+    send(loadExchange.tick(ownKey(), loop.clock().now()));
+    send(crashExchange.tick(loop.clock().now()));
     reportRegion();
     loop.callAfter(loadReportInterval, [this] { reportLoad(); });
 }
@@ -439,7 +439,7 @@
     Duration passed = loop.clock().now() - parts.stop->began;
     if (passed >= drainListenDuration && !hasStoppedListening) {
         hasStoppedListening = true;
-        clients->stopListening();
+        clientServer->stopListening();
     }
     bool isQuiet = loop.clock().now() - lastRequestAt >= drainQuietDuration || hasStoppedListening;
     bool mayEnd = isQuiet && passed >= std::min<Duration>(minDrainDuration, ingress.drainTimeout / 2);
@@ -492,8 +492,8 @@
     logChange(LogLevel::Info, "draining", { { "open_requests", impl.parts.openRequests } });
     impl.registration.stop();
     impl.relayedStore.stopRelaying();
-    impl.clients->discourage();
-    impl.peers->discourage();
+    impl.clientServer->discourage();
+    impl.peerServer->discourage();
     impl.checkDrained();
 }
 
--- a/lib/Ingress/RelayedStore.cpp
+++ b/lib/Ingress/RelayedStore.cpp
@@ -36,7 +36,7 @@
 
     /// A request for changes that waits for the store's next answer.
     struct Waiter {
-        StoreRevision after { 0 };
+        StoreRevision afterRevision { 0 };
         std::shared_ptr<HttpResponder> responder;
     };
 
@@ -46,8 +46,8 @@
     class Subscription;
 
     Impl(Store& store, HttpClient& client, Scheduler& loop, RelayCallbacks callbacks)
-        : direct(store)
-        , peers(client)
+        : directStore(store)
+        , peerClient(client)
         , scheduler(loop)
         , relayCallbacks(std::move(callbacks))
     {
@@ -66,20 +66,20 @@
     /// Fetches all keys from another entry. \p failure is the error of the store's
     /// listing, passed to \p done if no entry can be asked or none answers.
     void bootstrapFromPeer(const absl::Status& failure, ListCallback done);
-    bool isDirect() const { return directWatches > 0; }
+    bool isDirect() const { return directWatchCount > 0; }
     /// Returns whether other entries may wait here for the store's next answer.
     bool mayRelay() const;
 
-    Store& direct;
-    HttpClient& peers;
+    Store& directStore;
+    HttpClient& peerClient;
     Scheduler& scheduler;
     RelayCallbacks relayCallbacks;
     StoreMirror mirror;
     /// Number of direct watches. There may be two for a moment, since a new watch starts
     /// before the broken one is dropped.
-    unsigned directWatches { 0 };
+    unsigned directWatchCount { 0 };
     bool hasStopped { false };
-    TimePoint directUntil {};
+    TimePoint directWatchUntil {};
     /// When the store last answered this entry's own watch; nothing before the
     /// first answer since the entry last used a relay.
     std::optional<TimePoint> storeAnsweredAt;
@@ -127,14 +127,14 @@
 private:
     std::optional<SocketAddress> findRelay() const
     {
-        bool mustBeDirect = m_store.now() < m_store.directUntil;
+        bool mustBeDirect = m_store.now() < m_store.directWatchUntil;
         return mustBeDirect ? std::nullopt : m_store.relayCallbacks.findRelay();
     }
 
     void watchDirectly()
     {
         logChange(LogLevel::Info, "store_watched_directly", { { "after", m_lastRevision } });
-        ++m_store.directWatches;
+        ++m_store.directWatchCount;
         std::weak_ptr<Subscription> weak = weak_from_this();
         StoreWatchCallbacks callbacks;
         callbacks.onEvents = [weak](const std::vector<StoreEvent>& events) {
@@ -145,13 +145,13 @@
         };
         callbacks.onEnd = [weak](const absl::Status& status) {
             if (auto self = weak.lock())
-                self->fail(status);
+                self->endWithError(status);
         };
         callbacks.onCurrent = [weak] {
             if (auto self = weak.lock())
                 self->handleStoreConfirmation();
         };
-        m_directWatch = m_store.direct.watch(m_prefix, m_lastRevision + 1, std::move(callbacks));
+        m_directWatch = m_store.directStore.watch(m_prefix, m_lastRevision + 1, std::move(callbacks));
     }
 
     // Switches to a relay right after an answer of the store, when the data is new and
@@ -169,7 +169,7 @@
     void switchToRelay(const SocketAddress& relay)
     {
         m_directWatch.reset();
-        --m_store.directWatches;
+        --m_store.directWatchCount;
         m_store.storeAnsweredAt.reset();
         m_store.refuseWaiters();
         askRelay(relay);
@@ -190,7 +190,7 @@
             request.headers.add(changesAtOnceHeader, "1");
         request.headTimeout = isStale ? immediateAnswerTimeout : std::chrono::ceil<milliseconds>(left);
         request.idleTimeout = relayIdleTimeout;
-        m_exchange = sendForWhole(m_store.peers, std::move(request), maxAnswerBytes,
+        m_exchange = sendForWhole(m_store.peerClient, std::move(request), maxAnswerBytes,
             [weak = weak_from_this(), relay](const HttpResult& result, const HttpResponseHead& head, const std::string& body) {
                 if (auto self = weak.lock())
                     self->handleRelayAnswer(relay, result, head, body);
@@ -241,7 +241,7 @@
             return;
         }
         m_consecutiveFailures = 0;
-        m_store.directUntil = m_store.now() + directWatchDuration;
+        m_store.directWatchUntil = m_store.now() + directWatchDuration;
         watchDirectly();
     }
 
@@ -274,7 +274,7 @@
             onCurrent();
     }
 
-    void fail(const absl::Status& status)
+    void endWithError(const absl::Status& status)
     {
         logChange(LogLevel::Warning, "store_watch_ended", { { "after", m_lastRevision }, { "detail", std::string(status.message()) } });
         auto onEnd = std::move(m_callbacks.onEnd);
@@ -310,7 +310,7 @@
 {
     auto waiting = std::exchange(waiters, {});
     for (Waiter& waiter : waiting)
-        answer(*waiter.responder, waiter.after);
+        answer(*waiter.responder, waiter.afterRevision);
 }
 
 void RelayedStore::Impl::refuseWaiters()
@@ -356,7 +356,7 @@
 
 void RelayedStore::Impl::endDirectWatch()
 {
-    --directWatches;
+    --directWatchCount;
     if (isDirect())
         return;
     if (!watchLostAt)
@@ -381,7 +381,7 @@
     request.connectTimeout = relayConnectTimeout;
     request.headTimeout = bootstrapTimeout;
     request.idleTimeout = bootstrapTimeout;
-    sendForWhole(peers, std::move(request), maxAnswerBytes,
+    sendForWhole(peerClient, std::move(request), maxAnswerBytes,
         [weak = weak_from_this(), peer = *peer, failure, done = std::move(done)](const HttpResult& result, const HttpResponseHead& head, const std::string& body) {
             auto self = weak.lock();
             if (!self)
@@ -404,8 +404,8 @@
         });
 }
 
-RelayedStore::RelayedStore(Store& direct, HttpClient& peers, Scheduler& scheduler, RelayCallbacks relayCallbacks)
-    : m_impl(std::make_shared<Impl>(direct, peers, scheduler, std::move(relayCallbacks)))
+RelayedStore::RelayedStore(Store& directStore, HttpClient& peerClient, Scheduler& scheduler, RelayCallbacks relayCallbacks)
+    : m_impl(std::make_shared<Impl>(directStore, peerClient, scheduler, std::move(relayCallbacks)))
 {
 }
 
@@ -413,12 +413,12 @@
 
 void RelayedStore::get(const std::string& key, GetCallback done)
 {
-    m_impl->direct.get(key, std::move(done));
+    m_impl->directStore.get(key, std::move(done));
 }
 
 void RelayedStore::list(const std::string& prefix, ListCallback done)
 {
-    m_impl->direct.list(prefix, [weak = std::weak_ptr<Impl>(m_impl), askedAt = m_impl->now(), done = std::move(done)](const absl::StatusOr<StoreListing>& listing) {
+    m_impl->directStore.list(prefix, [weak = std::weak_ptr<Impl>(m_impl), askedAt = m_impl->now(), done = std::move(done)](const absl::StatusOr<StoreListing>& listing) {
         auto impl = weak.lock();
         if (!impl)
             return;
@@ -436,27 +436,27 @@
 
 void RelayedStore::compareAndSwap(const std::string& key, StoreRevision expected, const std::string& value, StoreLease lease, SwapCallback done)
 {
-    m_impl->direct.compareAndSwap(key, expected, value, lease, std::move(done));
+    m_impl->directStore.compareAndSwap(key, expected, value, lease, std::move(done));
 }
 
 void RelayedStore::compareAndDelete(const std::string& key, StoreRevision expected, SwapCallback done)
 {
-    m_impl->direct.compareAndDelete(key, expected, std::move(done));
+    m_impl->directStore.compareAndDelete(key, expected, std::move(done));
 }
 
 void RelayedStore::grantLease(milliseconds timeToLive, LeaseCallback done)
 {
-    m_impl->direct.grantLease(timeToLive, std::move(done));
+    m_impl->directStore.grantLease(timeToLive, std::move(done));
 }
 
 void RelayedStore::keepAlive(StoreLease lease, KeepAliveCallback done)
 {
-    m_impl->direct.keepAlive(lease, std::move(done));
+    m_impl->directStore.keepAlive(lease, std::move(done));
 }
 
 void RelayedStore::revokeLease(StoreLease lease, DoneCallback done)
 {
-    m_impl->direct.revokeLease(lease, std::move(done));
+    m_impl->directStore.revokeLease(lease, std::move(done));
 }
 
 namespace {
--- a/unittests/Ingress/RelayedStoreTest.cpp
+++ b/unittests/Ingress/RelayedStoreTest.cpp
@@ -16,8 +16,8 @@
 /// An entry with its own store client, which other entries reach through a PeerNetwork.
 struct RelayEntry {
     RelayEntry(FakeStore& shared, ManualScheduler& scheduler, HttpClient& peers, RelayCallbacks callbacks)
-        : direct(shared.clientOn(scheduler))
-        , store(*direct, peers, scheduler, std::move(callbacks))
+        : directStore(shared.clientOn(scheduler))
+        , store(*directStore, peers, scheduler, std::move(callbacks))
     {
     }
 
@@ -35,14 +35,14 @@
                                             for (const StoreEvent& event : events)
                                                 seen.push_back(event.current.key);
                                         },
-                                           [this](const absl::Status&) { ++watchEnds; } });
+                                           [this](const absl::Status&) { ++watchEndCount; } });
     }
 
-    std::unique_ptr<Store> direct;
+    std::unique_ptr<Store> directStore;
     RelayedStore store;
     std::unique_ptr<StoreWatch> watch;
     std::vector<std::string> seen;
-    int watchEnds { 0 };
+    int watchEndCount { 0 };
 };
 
 /// Delivers requests between entries; the port of an address is the index of the entry.
@@ -115,7 +115,7 @@
         scheduler.advance(50ms);
     }
 
-    RelayCallbacks withRelay(std::uint16_t port)
+    RelayCallbacks relayCallbacks(std::uint16_t port)
     {
         RelayCallbacks callbacks;
         callbacks.findRelay = [this, port]() -> std::optional<SocketAddress> {
@@ -124,7 +124,7 @@
             return SocketAddress { "127.0.0.1", port };
         };
         callbacks.recordRelayFailure = [this](const SocketAddress&) { ++failures; };
-        callbacks.recordHistoryGap = [this] { ++historyGaps; };
+        callbacks.recordHistoryGap = [this] { ++historyGapCount; };
         return callbacks;
     }
 
@@ -141,9 +141,9 @@
     PeerNetwork network { scheduler };
     bool hasRelay { true };
     int failures { 0 };
-    int historyGaps { 0 };
+    int historyGapCount { 0 };
     RelayEntry relay { shared, scheduler, network, withoutRelay() };
-    RelayEntry follower { shared, scheduler, network, withRelay(0) };
+    RelayEntry follower { shared, scheduler, network, relayCallbacks(0) };
 };
 
 } // namespace
@@ -180,7 +180,7 @@
         fixture.shared.put("after", "value");
         fixture.scheduler.advance(100ms);
         CHECK(fixture.follower.seen.back() == "after");
-        CHECK(fixture.follower.watchEnds == 0);
+        CHECK(fixture.follower.watchEndCount == 0);
     }
 }
 
@@ -285,9 +285,9 @@
     fixture.relay.start();
     fixture.scheduler.advance(3s);
     CHECK(fixture.follower.seen == std::vector<std::string> { "stays", "goes", "stays", "new", "goes" });
-    CHECK(fixture.historyGaps > 0);
+    CHECK(fixture.historyGapCount > 0);
     CHECK_FALSE(fixture.follower.store.isDirect());
-    CHECK(fixture.follower.watchEnds == 0);
+    CHECK(fixture.follower.watchEndCount == 0);
     // The store received one listing and one watch, both from the relay.
     CHECK(fixture.shared.calls(StoreCallGroup::Read) == reads + 2);
 }
--- a/unittests/Ingress/StoreFollowerTest.cpp
+++ b/unittests/Ingress/StoreFollowerTest.cpp
@@ -22,7 +22,7 @@
     Compact,
     LoseAnswer,
 };
-constexpr int stepKinds = 9;
+constexpr int stepKindCount = 9;
 
 ConfigResult<RouteTable> readVersion(absl::string_view text)
 {
@@ -64,13 +64,13 @@
             store.put("configuration", std::to_string(version));
             break;
         case Step::AddEndpoint:
-            store.put("endpoints/" + std::to_string(++m_added), "");
-            ++endpoints;
+            store.put("endpoints/" + std::to_string(++m_addedCount), "");
+            ++endpointCount;
             break;
         case Step::RemoveEndpoint:
-            if (m_removed < m_added) {
-                store.erase("endpoints/" + std::to_string(++m_removed));
-                --endpoints;
+            if (m_removedCount < m_addedCount) {
+                store.erase("endpoints/" + std::to_string(++m_removedCount));
+                --endpointCount;
             }
             break;
         case Step::EvacuateZone:
@@ -97,11 +97,11 @@
 
     FakeStore store;
     std::int64_t version { 1 };
-    std::size_t endpoints { 1 };
+    std::size_t endpointCount { 1 };
 
 private:
-    int m_added { 0 };
-    int m_removed { 0 };
+    int m_addedCount { 0 };
+    int m_removedCount { 0 };
 };
 
 /// The tables of an entry, updated from the store.
@@ -114,7 +114,7 @@
     }
 
     std::int64_t version() const { return fixture.parts.routes ? fixture.parts.routes->version() : 0; }
-    std::size_t endpoints() const { return fixture.parts.endpoints.size(); }
+    std::size_t endpointCount() const { return fixture.parts.endpoints.size(); }
 
     IngressFixture fixture;
     ReferenceStore reference { fixture.scheduler };
@@ -230,7 +230,7 @@
         return fault;
     if (tables.version() != tables.reference.version)
         return "the latest version is not in force";
-    return tables.endpoints() == tables.reference.endpoints ? "" : "the number of endpoints differs from the store's";
+    return tables.endpointCount() == tables.reference.endpointCount ? "" : "the number of endpoints differs from the store's";
 }
 
 template <typename AnyFollower>
@@ -238,12 +238,12 @@
 {
     int schedules = 1;
     for (int i = 0; i < steps; ++i)
-        schedules *= stepKinds;
+        schedules *= stepKindCount;
     int faulty = 0;
     for (int schedule = 0; schedule < schedules; ++schedule) {
         std::vector<Step> sequence;
-        for (int i = 0, rest = schedule; i < steps; ++i, rest /= stepKinds)
-            sequence.push_back(static_cast<Step>(rest % stepKinds));
+        for (int i = 0, rest = schedule; i < steps; ++i, rest /= stepKindCount)
+            sequence.push_back(static_cast<Step>(rest % stepKindCount));
         std::string fault = runSchedule<AnyFollower>(sequence, 8s);
         if (fault.empty())
             continue;
@@ -274,7 +274,7 @@
     for (int schedule = 0; schedule < 60; ++schedule) {
         std::vector<Step> steps(30);
         for (Step& step : steps)
-            step = static_cast<Step>(random.below(stepKinds));
+            step = static_cast<Step>(random.below(stepKindCount));
         // Each answer that is still to be lost takes a call timeout and a retry delay.
         std::string fault = runSchedule<Follower>(steps, 40s);
         CAPTURE(schedule, fault);
@@ -291,7 +291,7 @@
         Follower follower(tables);
         tables.reference.apply(Step::AddEndpoint);
         CHECK(advanceAndCheck(tables, follower, 5s).empty());
-        REQUIRE(tables.endpoints() == 2);
+        REQUIRE(tables.endpointCount() == 2);
         tables.reference.apply(Step::Down);
         CHECK(advanceAndCheck(tables, follower, 4s).empty());
         tables.reference.store.erase("endpoints/first");
@@ -301,14 +301,14 @@
         tables.reference.apply(Step::Recover);
         for (int i = 0; i < 40; ++i) {
             CHECK(advanceAndCheck(tables, follower, 50ms).empty());
-            CHECK(tables.endpoints() == 2);
+            CHECK(tables.endpointCount() == 2);
         }
         tables.reference.store.put("endpoints/first", "");
         CHECK(advanceAndCheck(tables, follower, 2'500ms).empty());
-        CHECK(tables.endpoints() == 1);
+        CHECK(tables.endpointCount() == 1);
         // The store is stable again: a deleted registration is removed at once.
         tables.reference.store.erase("endpoints/first");
         CHECK(advanceAndCheck(tables, follower, 300ms).empty());
-        CHECK(tables.endpoints() == 0);
+        CHECK(tables.endpointCount() == 0);
     }
 }
--- a/unittests/Ingress/StoreFreshnessTest.cpp
+++ b/unittests/Ingress/StoreFreshnessTest.cpp
@@ -28,7 +28,7 @@
     zone.registerEndpoint("stays");
     zone.registerEndpoint("leaves");
     zone.advance(6s);
-    REQUIRE(zone.uses(0, "leaves"));
+    REQUIRE(zone.mayUse(0, "leaves"));
     zone.setFault(0, fault);
     zone.advance(outage / 2);
     if (departure.isAnnounced)
@@ -40,9 +40,9 @@
     zone.advance(outage / 2);
     zone.setFault(0, EntryFault::None);
     TimePoint recoveredAt = zone.now();
-    while (zone.uses(0, "leaves") && zone.now() - recoveredAt < 20s)
+    while (zone.mayUse(0, "leaves") && zone.now() - recoveredAt < 20s)
         zone.advance(50ms);
-    CHECK(zone.uses(0, "stays"));
+    CHECK(zone.mayUse(0, "stays"));
     return zone.now() - recoveredAt;
 }
 
@@ -96,7 +96,7 @@
     zone.registerEndpoint("leaves", true);
     zone.advance(leavingBound);
     for (std::size_t entry = 0; entry < entries; ++entry) {
-        if (zone.hasBeenHealthy(entry, recoveryBound + leavingBound) && zone.uses(entry, "leaves"))
+        if (zone.hasBeenHealthy(entry, recoveryBound + leavingBound) && zone.mayUse(entry, "leaves"))
             return false;
     }
     return true;
@@ -199,7 +199,7 @@
             if (!isStoreStable || !m_zone.hasBeenHealthy(entry, recoveryBound))
                 continue;
             for (std::size_t i = 0; i + 1 < m_leftAt.size(); ++i) {
-                if (m_zone.now() - m_leftAt[i] > leavingBound && m_zone.uses(entry, "endpoint-" + std::to_string(i)))
+                if (m_zone.now() - m_leftAt[i] > leavingBound && m_zone.mayUse(entry, "endpoint-" + std::to_string(i)))
                     return false;
             }
         }
--- a/unittests/Ingress/StoreZone.cpp
+++ b/unittests/Ingress/StoreZone.cpp
@@ -23,9 +23,9 @@
 }
 
 /// An entry's connection to the store, with its faults and the timeouts of its client.
-class StoreZone::Path final : public Store {
+class StoreZone::StoreConnection final : public Store {
 public:
-    Path(StoreZone& zone, std::size_t entry, Scheduler& scheduler)
+    StoreConnection(StoreZone& zone, std::size_t entry, Scheduler& scheduler)
         : m_zone(zone)
         , m_entry(entry)
         , m_scheduler(scheduler)
@@ -39,7 +39,7 @@
             m_client->list(prefix, std::move(done));
             return;
         }
-        m_scheduler.callAfter(refuses() ? refusalTime : callTimeout, [done = std::move(done)] { done(absl::UnavailableError("no answer")); });
+        m_scheduler.callAfter(isRefusedByStore() ? refusalTime : callTimeout, [done = std::move(done)] { done(absl::UnavailableError("no answer")); });
     }
 
     std::unique_ptr<StoreWatch> watch(const std::string& prefix, StoreRevision firstRevision, StoreWatchCallbacks callbacks) override;
@@ -59,7 +59,7 @@
     class Handle;
 
     EntryFault fault() const { return m_zone.m_entries[m_entry].fault; }
-    bool refuses() const { return fault() == EntryFault::StoreRefuses; }
+    bool isRefusedByStore() const { return fault() == EntryFault::StoreRefuses; }
     bool reachesStore() const { return fault() == EntryFault::None || fault() == EntryFault::Paused; }
     void poll(const std::shared_ptr<Watch>& watch);
     void deliver(Watch& watch);
@@ -70,9 +70,9 @@
     std::unique_ptr<Store> m_client;
 };
 
-/// A watch on the path. Events that arrive while the path is down are held and delivered
-/// when it recovers, unless the call has timed out by then.
-struct StoreZone::Path::Watch {
+/// A watch through the connection. Events that arrive while the store is unreachable are
+/// held and delivered when the entry reaches it again, unless the call has timed out.
+struct StoreZone::StoreConnection::Watch {
     void end(const absl::Status& status)
     {
         auto onEnd = std::move(callbacks.onEnd);
@@ -90,7 +90,7 @@
     bool isHeldCurrent { false };
 };
 
-class StoreZone::Path::Handle final : public StoreWatch {
+class StoreZone::StoreConnection::Handle final : public StoreWatch {
 public:
     explicit Handle(std::shared_ptr<Watch> watch)
         : m_watch(std::move(watch))
@@ -108,7 +108,7 @@
     std::shared_ptr<Watch> m_watch;
 };
 
-std::unique_ptr<StoreWatch> StoreZone::Path::watch(const std::string& prefix, StoreRevision firstRevision, StoreWatchCallbacks callbacks)
+std::unique_ptr<StoreWatch> StoreZone::StoreConnection::watch(const std::string& prefix, StoreRevision firstRevision, StoreWatchCallbacks callbacks)
 {
     auto watch = std::make_shared<Watch>();
     watch->callbacks = std::move(callbacks);
@@ -132,7 +132,7 @@
 }
 
 // Either callback may drop the watch.
-void StoreZone::Path::deliver(Watch& watch)
+void StoreZone::StoreConnection::deliver(Watch& watch)
 {
     std::vector<StoreEvent> events = std::exchange(watch.heldEvents, {});
     bool isCurrent = std::exchange(watch.isHeldCurrent, false);
@@ -147,14 +147,14 @@
         onCurrent();
 }
 
-void StoreZone::Path::poll(const std::shared_ptr<Watch>& watch)
+void StoreZone::StoreConnection::poll(const std::shared_ptr<Watch>& watch)
 {
     m_scheduler.callAfter(pollInterval, [this, weak = std::weak_ptr<Watch>(watch)] {
         auto locked = weak.lock();
         if (!locked || !locked->callbacks.onEnd)
             return;
         bool hasTimedOut = m_scheduler.clock().now() - locked->askedAt >= watchTimeout;
-        if (refuses() || (!reachesStore() && hasTimedOut)) {
+        if (isRefusedByStore() || (!reachesStore() && hasTimedOut)) {
             locked->end(absl::UnavailableError("no answer"));
             return;
         }
@@ -170,9 +170,9 @@
 }
 
 /// Delivers an entry's requests to the other entries by the port of their address.
-class StoreZone::Client final : public HttpClient {
+class StoreZone::PeerClient final : public HttpClient {
 public:
-    Client(StoreZone& zone, std::size_t entry, Scheduler& scheduler)
+    PeerClient(StoreZone& zone, std::size_t entry, Scheduler& scheduler)
         : m_zone(zone)
         , m_entry(entry)
         , m_scheduler(scheduler)
@@ -192,7 +192,7 @@
 
         HttpClientRequest request;
         HttpClientCallbacks callbacks;
-        std::size_t server { 0 };
+        std::size_t serverIndex { 0 };
         /// Start count of the process that received the request; zero before delivery.
         std::uint64_t serverStartCount { 0 };
         std::shared_ptr<FakeResponder> responder { std::make_shared<FakeResponder>() };
@@ -210,9 +210,9 @@
 
 struct StoreZone::Process {
     Process(StoreZone& zone, std::size_t entry)
-        : path(zone, entry, fixture.scheduler)
-        , client(zone, entry, fixture.scheduler)
-        , relayed(path, client, fixture.scheduler, relayCallbacks(entry))
+        : storeConnection(zone, entry, fixture.scheduler)
+        , peerClient(zone, entry, fixture.scheduler)
+        , relayed(storeConnection, peerClient, fixture.scheduler, relayCallbacks(entry))
         , follower(relayed, fixture.scheduler, fixture.random, "entries/", fixture.parts, [](const std::string&) {})
     {
         fixture.random = Random(entry + 1);
@@ -253,16 +253,16 @@
     }
 
     IngressFixture fixture;
-    Path path;
-    Client client;
+    StoreConnection storeConnection;
+    PeerClient peerClient;
     RelayedStore relayed;
     StoreFollower follower;
 };
 
-std::shared_ptr<HttpExchange> StoreZone::Client::send(HttpClientRequest request, HttpClientCallbacks callbacks)
+std::shared_ptr<HttpExchange> StoreZone::PeerClient::send(HttpClientRequest request, HttpClientCallbacks callbacks)
 {
     auto exchange = std::make_shared<Exchange>();
-    exchange->server = request.server.port - firstPort;
+    exchange->serverIndex = request.server.port - firstPort;
     exchange->deadline = m_scheduler.clock().now() + request.headTimeout;
     exchange->request = std::move(request);
     exchange->callbacks = std::move(callbacks);
@@ -270,10 +270,10 @@
     return exchange;
 }
 
-void StoreZone::Client::deliver(Exchange& exchange)
+void StoreZone::PeerClient::deliver(Exchange& exchange)
 {
-    Entry& server = m_zone.m_entries[exchange.server];
-    if (exchange.serverStartCount > 0 || !server.process || server.fault == EntryFault::Paused || !m_zone.isReachable(m_entry, exchange.server))
+    Entry& server = m_zone.m_entries[exchange.serverIndex];
+    if (exchange.serverStartCount > 0 || !server.process || server.fault == EntryFault::Paused || !m_zone.isReachable(m_entry, exchange.serverIndex))
         return;
     exchange.serverStartCount = server.startCount;
     HttpRequest peerRequest;
@@ -281,15 +281,15 @@
     server.process->relayed.answerPeer(peerRequest, exchange.responder);
 }
 
-void StoreZone::Client::poll(const std::shared_ptr<Exchange>& exchange)
+void StoreZone::PeerClient::poll(const std::shared_ptr<Exchange>& exchange)
 {
     m_scheduler.callAfter(pollInterval, [this, exchange] {
         if (exchange->isCancelled)
             return;
         deliver(*exchange);
-        const Entry& server = m_zone.m_entries[exchange->server];
+        const Entry& server = m_zone.m_entries[exchange->serverIndex];
         bool isRefused = !server.process || (exchange->serverStartCount > 0 && exchange->serverStartCount != server.startCount);
-        bool isReachable = m_zone.isReachable(m_entry, exchange->server);
+        bool isReachable = m_zone.isReachable(m_entry, exchange->serverIndex);
         if (exchange->responder->isFinished && isReachable) {
             exchange->callbacks.onHead(*exchange->responder->head);
             exchange->callbacks.onBody(exchange->responder->body);
@@ -359,7 +359,7 @@
     m_store.put("endpoints/" + name, isLeaving ? "leaving" : "ready");
 }
 
-bool StoreZone::uses(std::size_t entry, const std::string& endpoint) const
+bool StoreZone::mayUse(std::size_t entry, const std::string& endpoint) const
 {
     bool isUsed = false;
     if (!m_entries[entry].process)
--- a/unittests/Ingress/StoreZone.h
+++ b/unittests/Ingress/StoreZone.h
@@ -40,7 +40,7 @@
     /// Registers an endpoint under \p name, or marks it as leaving.
     void registerEndpoint(const std::string& name, bool isLeaving = false);
     /// Returns whether an entry may still send requests to an endpoint.
-    bool uses(std::size_t entry, const std::string& endpoint) const;
+    bool mayUse(std::size_t entry, const std::string& endpoint) const;
     /// Returns whether an entry has had no fault for \p span.
     bool hasBeenHealthy(std::size_t entry, Duration span) const;
     bool isDirect(std::size_t entry) const;
@@ -51,8 +51,8 @@
     FakeStore& store() { return m_store; }
 
 private:
-    class Path;
-    class Client;
+    class StoreConnection;
+    class PeerClient;
     struct Process;
     struct Entry {
         std::unique_ptr<Process> process;
--- a/unittests/Platform/PlatformFixture.h
+++ b/unittests/Platform/PlatformFixture.h
@@ -44,7 +44,7 @@
     {
         REQUIRE(sendAndWait(server.address(), "PUT", "/standin/faults", faults.dump())->head.status == 200);
     }
-    SwapResult swap(const std::string& key, StoreRevision expected, const std::string& value, StoreLease lease = 0)
+    SwapResult compareAndSwap(const std::string& key, StoreRevision expected, const std::string& value, StoreLease lease = 0)
     {
         std::optional<SwapResult> result;
         store->compareAndSwap(key, expected, value, lease, [&](SwapResult swapped) { result = swapped; });
--- a/unittests/Platform/PlatformStoreTest.cpp
+++ b/unittests/Platform/PlatformStoreTest.cpp
@@ -16,7 +16,7 @@
 struct StoreClientFixture {
     explicit StoreClientFixture(FakeHttpClient::Handler handler) { http.handler = std::move(handler); }
 
-    SwapResult swap()
+    SwapResult compareAndSwap()
     {
         SwapResult result;
         store.compareAndSwap("k", 0, "v", 1, [&](SwapResult swapped) { result = swapped; });
@@ -43,7 +43,7 @@
 {
     auto outcomeOf = [](const FakeHttpAnswer& answer) {
         StoreClientFixture fixture([answer](const HttpClientRequest&) { return answer; });
-        return fixture.swap().outcome;
+        return fixture.compareAndSwap().outcome;
     };
     CHECK(outcomeOf(withStatus(200, R"({"revision":9})")) == SwapOutcome::Committed);
     CHECK(outcomeOf(withStatus(412, R"({"items":[]})")) == SwapOutcome::Conflict);
@@ -57,7 +57,7 @@
 TEST_CASE("a write without a response is not sent again")
 {
     StoreClientFixture fixture([](const HttpClientRequest&) { return FakeHttpAnswer::failed(HttpEnd::NoResponse, true); });
-    fixture.swap();
+    fixture.compareAndSwap();
     CHECK(fixture.http.requests.size() == 1);
 }
 
--- a/unittests/Platform/ServedPathTest.cpp
+++ b/unittests/Platform/ServedPathTest.cpp
@@ -41,7 +41,7 @@
 public:
     EntryFixture()
     {
-        platform.swap("op/config", 0, configuration());
+        platform.compareAndSwap("op/config", 0, configuration());
         for (const char* name : { "plain-1", "plain-2" })
             addEndpoint("plain", name, 0);
         for (const char* name : { "model-1", "model-2" })
@@ -81,7 +81,7 @@
     void addEndpoint(const std::string& service, const std::string& incarnation, unsigned events, bool isLeaving = false)
     {
         endpoints.push_back(platform.startEndpoint({ incarnation, 0ms, events, 1ms, isLeaving }));
-        platform.swap("servers/" + incarnation, 0, registration(service, endpoints.size() - 1).dump());
+        platform.compareAndSwap("servers/" + incarnation, 0, registration(service, endpoints.size() - 1).dump());
     }
     nlohmann::json registration(const std::string& service, std::size_t endpoint) const
     {
@@ -91,7 +91,7 @@
     void rewriteRegistration(const std::string& incarnation, const std::string& text)
     {
         std::string key = "servers/" + incarnation;
-        platform.swap(key, platform.get(key).revision, text);
+        platform.compareAndSwap(key, platform.get(key).revision, text);
     }
     std::shared_ptr<Recorded> sendAndWait(const std::string& target, const std::string& attempt = "a-1")
     {
@@ -227,8 +227,8 @@
 TEST_CASE("malformed registrations are ignored and do not affect other endpoints")
 {
     EntryFixture fixture;
-    fixture.platform.swap("servers/stranger", 0, R"({"service":"plain","addr":7})");
-    fixture.platform.swap("servers/bytes", 0, "\x01\x02{");
+    fixture.platform.compareAndSwap("servers/stranger", 0, R"({"service":"plain","addr":7})");
+    fixture.platform.compareAndSwap("servers/bytes", 0, "\x01\x02{");
     fixture.rewriteRegistration("plain-1", R"({"service":"plain","addr":"127.0.0.1:1","state":"asleep"})");
     auto isAnsweredBySecondOnly = [&] {
         for (int number = 0; number < 8; ++number) {
@@ -258,7 +258,7 @@
     std::string registered = fixture.platform.get(key).value;
     fixture.removeKey(key);
     fixture.waitForStoreChanges();
-    fixture.platform.swap(key, 0, registered);
+    fixture.platform.compareAndSwap(key, 0, registered);
     fixture.waitForStoreChanges();
     for (int number = 0; number < 40; ++number)
         CHECK(fixture.sendAndWait("/once/order")->head.status == 200);
