--- a/lib/Ingress/EntryRegistration.cpp
+++ b/lib/Ingress/EntryRegistration.cpp
@@ -43,6 +43,7 @@
     Store& store;
     Scheduler& scheduler;
     EntryRegistrationOptions options;
+    /// Number of the current registration attempt. Callbacks of earlier attempts do nothing.
     std::uint64_t epoch { 0 };
     StoreLease lease { 0 };
     std::chrono::milliseconds retryDelay { options.firstRetryDelay };
--- a/unittests/Ingress/StoreFollowerTest.cpp
+++ b/unittests/Ingress/StoreFollowerTest.cpp
@@ -45,7 +45,8 @@
     return record;
 }
 
-/// The store, and the state that operators and endpoints have written to it.
+/// The store, and the state that a follower must reach: the latest version and the number
+/// of endpoints written to the store.
 class ReferenceStore {
 public:
     explicit ReferenceStore(ManualScheduler& scheduler)
--- a/unittests/Ingress/StoreZone.cpp
+++ b/unittests/Ingress/StoreZone.cpp
@@ -131,7 +131,8 @@
     return std::make_unique<Handle>(std::move(watch));
 }
 
-// Either callback may drop the watch.
+// Copies each callback before the call, since a callback may destroy the handle, which
+// clears both.
 void StoreZone::StoreConnection::deliver(Watch& watch)
 {
     std::vector<StoreEvent> events = std::exchange(watch.heldEvents, {});
