--- a/include/catkinwing/Ingress/RelayedStore.h
+++ b/include/catkinwing/Ingress/RelayedStore.h
@@ -9,7 +9,7 @@
 
 namespace catkinwing {
 
-/// Callbacks by which a RelayedStore selects other entries and reports about them.
+/// Callbacks by which a RelayedStore selects other entries and reports failures.
 struct RelayCallbacks {
     /// Returns the entry to request changes from; nothing if this entry is to
     /// watch the store directly.
@@ -32,7 +32,7 @@
 class RelayedStore final : public Store {
 public:
     /// All references must outlive the store.
-    RelayedStore(Store& direct, HttpClient& peers, Scheduler& scheduler, RelayCallbacks relayCallbacks);
+    RelayedStore(Store& directStore, HttpClient& peerClient, Scheduler& scheduler, RelayCallbacks relayCallbacks);
     ~RelayedStore() override;
     RelayedStore(const RelayedStore&) = delete;
     RelayedStore& operator=(const RelayedStore&) = delete;
