--- a/include/catkinwing/Admission/AdmissionController.h
+++ b/include/catkinwing/Admission/AdmissionController.h
@@ -9,16 +9,20 @@
 namespace catkinwing {
 
 /// Decides which of a daemon's requests are queued, refused and started. A request
-/// passes through admit(), next() and finished(). Reads no clock and does no I/O.
+/// passes through admit(), startNext() and finish(). The class reads no clock and does
+/// no I/O.
+///
+/// The controller sends no responses: the code that receives a DroppedRequest must
+/// send its refusal to the client at once. A caller is a client of a team.
 class AdmissionController {
 public:
     explicit AdmissionController(const AdmissionLimits& limits = {}, const SharePolicy& shares = {}, const ReservationPolicy& reservation = {});
 
     /// Applies the teams' policies. Returns the waiting requests whose team or class
-    /// was removed; the caller answers them at once.
+    /// was removed, to be refused at once.
     std::vector<DroppedRequest> configure(const std::vector<TeamPolicy>& teams, TimePoint now);
-    /// Sets the daemon's limits. A queue that exceeds new limits is not evicted; it
-    /// shrinks as its requests are started.
+    /// Sets the daemon's limits. Queued requests beyond the new limits are not evicted;
+    /// the queue shrinks as its requests are started.
     void setLimits(const AdmissionLimits& limits) { m_limits = limits; }
     /// Sets the number of slots that this daemon may use in a pool. Until it is set,
     /// no slots are reserved in the pool.
@@ -31,18 +35,19 @@
     /// \p canStart says whether a model has a free slot; the controller applies
     /// slot reservations and the teams' limits.
     std::optional<QueuedRequest> next(const CanStart& canStart, TimePoint now);
-    /// Queues a request from next() again that no endpoint accepted, at no charge.
-    /// Returns false if its team or class was removed; the caller then answers it.
+    /// Queues a request from startNext() again if no endpoint accepted it, and refunds its
+    /// charge. Returns false if its team or class was removed; the request must then be
+    /// refused.
     bool putBack(RequestId id, TimePoint now);
-    /// Ends a request from next() and corrects its charge to \p actualCost tokens, which
+    /// Ends a request from startNext() and corrects its charge to \p actualCost tokens, which
     /// is zero if the request was not run.
     void finished(RequestId id, double actualCost, TimePoint now);
     /// Removes a waiting request whose caller disconnected; returns false if the
     /// request isn't waiting.
     bool remove(RequestId id, TimePoint now);
-    /// Returns the requests that can no longer meet their deadlines; the caller answers
-    /// them at once. Also refreshes the shares at most every half second, so a timer
-    /// has to call it too.
+    /// Returns the requests that can no longer meet their deadlines, to be refused at
+    /// once. Also refreshes the shares at most every half second, so a timer has to
+    /// call expire() even if no requests arrive.
     std::vector<DroppedRequest> expire(TimePoint now);
 
     /// Returns the predicted wait of a request if it were queued now; empty if
@@ -56,7 +61,7 @@
     std::vector<ServiceCounter> servedCounters() const { return m_queue.servedCounters(); }
     /// Returns the number of waiting requests.
     std::size_t queued() const { return m_queue.size(); }
-    /// Returns the number of requests started and not finished.
+    /// Returns the number of requests that were started and have not ended.
     std::size_t inFlight() const { return m_inFlight.size(); }
 
 private:
@@ -65,7 +70,7 @@
         absl::flat_hash_set<std::string> classes;
         RateBucket rate { 0, 1 };
         std::size_t inFlight { 0 };
-        /// Requests of each caller, waiting or in flight.
+        /// Number of each caller's requests, waiting or in flight.
         absl::flat_hash_map<std::string, std::size_t> callers;
     };
     struct PoolState {
@@ -96,7 +101,7 @@
     absl::flat_hash_map<std::string, TeamState> m_teams;
     absl::flat_hash_map<std::string, PoolState> m_pools;
     absl::flat_hash_map<RequestId, QueuedRequest> m_inFlight;
-    /// Expired requests found by next() and not yet returned by expire().
+    /// Expired requests found by startNext() and not yet returned by expire().
     std::vector<DroppedRequest> m_expired;
 };
 
--- a/include/catkinwing/Admission/AdmissionDecision.h
+++ b/include/catkinwing/Admission/AdmissionDecision.h
@@ -48,7 +48,8 @@
     std::optional<Duration> retryAfter;
 };
 
-/// A request removed from the queue; the caller answers it `not-run` at once.
+/// A request removed from the queue without being run. The code that receives it must
+/// send the refusal to the client at once.
 struct DroppedRequest {
     QueuedRequest request;
     Refusal refusal;
@@ -58,7 +59,7 @@
 struct AdmissionDecision {
     /// Why the request was refused; empty if it was queued.
     std::optional<Refusal> refusal;
-    /// Requests evicted from the queue; the caller answers them at once. The request
+    /// Requests evicted from the queue to make space for the new one. The new request
     /// may still be refused if the evictions free too little space.
     std::vector<DroppedRequest> dropped;
 
--- a/include/catkinwing/Admission/AdmissionLimits.h
+++ b/include/catkinwing/Admission/AdmissionLimits.h
@@ -10,7 +10,7 @@
 /// Value of a count limit that stands for no limit.
 constexpr std::size_t unlimitedCount = std::numeric_limits<std::size_t>::max();
 
-/// Limits of the whole daemon.
+/// Limits on the queued requests of the whole daemon: their number and their bytes.
 struct AdmissionLimits {
     std::size_t queuedRequests { 4096 };
     std::size_t queuedBytes { std::size_t { 64 } << 20 };
@@ -18,14 +18,15 @@
 
 /// Limits of one team in this daemon.
 struct TeamLimits {
-    /// Maximum number of requests started and not finished; further requests wait.
+    /// Maximum number of requests that are started and have not ended; further requests
+    /// wait.
     std::size_t inFlight { unlimitedCount };
     /// Maximum number of waiting requests; further requests are refused.
     std::size_t queued { unlimitedCount };
     /// Maximum number of one caller's requests, waiting or in flight; further requests
     /// are refused.
     std::size_t perCaller { unlimitedCount };
-    /// Sustained requests a second; zero stands for no limit.
+    /// Maximum sustained rate; zero stands for no limit.
     double requestsPerSecond { 0 };
     /// Burst size in requests on top of the sustained rate.
     double burst { 1 };
--- a/include/catkinwing/Admission/DrainRate.h
+++ b/include/catkinwing/Admission/DrainRate.h
@@ -5,8 +5,8 @@
 
 namespace catkinwing {
 
-/// Rate at which queued work is started. Measured only while work is queued, since
-/// idle time doesn't show how fast a queue drains.
+/// Rate at which queued work is started. The rate is measured only while work is
+/// queued, since idle time doesn't show how fast a queue drains.
 class DrainRate {
 public:
     /// Records whether work is queued from \p now on.
--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -64,7 +64,8 @@
     /// Returns the rate in tokens per second at which requests of the request's team are
     /// started in its pool; empty if not known yet.
     std::optional<double> teamRate(const QueuedRequest& request, TimePoint now) const;
-    /// Returns the fraction of the team's weight that counts in this daemon's pool.
+    /// Returns the factor, above 0 and at most 1.5, by which the team's configured weight
+    /// is multiplied in this daemon's pool.
     double weightFraction(const std::string& team, const std::string& pool, TimePoint now) const;
 
     /// Returns whether a request is queued.
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -36,8 +36,8 @@
     /// while it is queued.
     void add(const QueuedRequest& request, TimePoint now);
     void remove(const QueuedRequest& request, TimePoint now);
-    /// Returns the request to start and charges its cost; the caller then removes the
-    /// request.
+    /// Returns the request to start and charges its cost; null if none can start. The
+    /// request stays queued until remove() is called.
     const QueuedRequest* pick(const CanStart& canStart, TimePoint now);
     /// Adds \p tokens, which may be negative, to the service charged to a team and class.
     void adjustCharge(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
@@ -76,7 +76,8 @@
     SharePolicy m_policy;
     RegionalShares m_regional;
     DecayingRate m_localServedRate;
-    /// Rate of the virtual time, which is the service rate for a weight of one here.
+    /// Rate at which the virtual time advances: the tokens per second that a team of
+    /// weight one is served in this pool.
     DecayingRate m_virtualTimeRate;
     DrainRate m_drainRate;
     double m_virtualTime { 0 };
--- a/include/catkinwing/Admission/QueuedRequest.h
+++ b/include/catkinwing/Admission/QueuedRequest.h
@@ -7,7 +7,7 @@
 
 namespace catkinwing {
 
-/// Identifies a request within one daemon; chosen by the caller of the package.
+/// Identifies a request within one daemon; chosen by the code that uses the package.
 using RequestId = std::uint64_t;
 
 /// How long requests of a class hold their slots. Long requests may not hold all
@@ -28,7 +28,8 @@
     /// Capacity pool: requests of one pool compete for the same slots. Empty stands
     /// for the model; adapters of one base model share the base model's pool.
     std::string pool;
-    /// Caller within the team; empty if callers aren't distinguished.
+    /// Identifies the client within the team; empty if the team's clients aren't
+    /// distinguished.
     std::string caller;
     /// Estimated cost in tokens, from estimateCost.
     double cost { 0 };
@@ -40,9 +41,9 @@
     /// Predicted time from the start to the event that the deadline applies to; zero if
     /// unknown.
     Duration expectedService {};
-    /// Set from the class's policy when the request is queued.
+    /// Kind of the class; set from the class's policy when the request is queued.
     WorkKind kind { WorkKind::Short };
-    /// Set when the request is queued.
+    /// Time at which the request was queued; set by the queue.
     TimePoint enqueuedAt {};
 
     /// Returns the pool in which the request competes.
--- a/include/catkinwing/Admission/RateBucket.h
+++ b/include/catkinwing/Admission/RateBucket.h
@@ -4,7 +4,8 @@
 
 namespace catkinwing {
 
-/// Token bucket that is full at the start. The caller passes the time.
+/// Token bucket that is full at the start. Its tokens are permits, not tokens of a
+/// language model. Every function takes the current time.
 class RateBucket {
 public:
     /// \p rate is in tokens per second, \p capacity in tokens.
--- a/include/catkinwing/Admission/RegionalShares.h
+++ b/include/catkinwing/Admission/RegionalShares.h
@@ -34,13 +34,14 @@
     bool isShared { false };
 };
 
-/// Fraction of a team's weight that applies in this daemon. The fraction adapts at each
-/// refresh while the team is backlogged here, and the adaptation decays while it isn't.
+/// Adapts the factor by which a team's weight is multiplied in this daemon. The shift of
+/// the factor is updated at each refresh while the team is backlogged here, and decays
+/// while the team isn't backlogged.
 class WeightShift {
 public:
     /// Updates the shift from the standing of a backlogged team.
     void adapt(const RegionalStanding& standing, TimePoint now);
-    /// Returns the fraction of the weight that applies, above 0 and at most 1.5.
+    /// Returns the factor for the weight, above 0 and at most 1.5.
     double fraction(const RegionalStanding& standing) const;
 
 private:
@@ -48,7 +49,7 @@
     TimePoint m_adaptedAt {};
 };
 
-/// Service from one pool by the other daemons of the region.
+/// Tracks the service that the other daemons of the region give from one pool.
 class RegionalShares {
 public:
     explicit RegionalShares(const SharePolicy& policy = {});
--- a/include/catkinwing/Admission/RetryBudget.h
+++ b/include/catkinwing/Admission/RetryBudget.h
@@ -3,8 +3,8 @@
 namespace catkinwing {
 
 /// Limits retries and hedges to a fraction of the requests, so that failures can't
-/// multiply load. Requests add to the budget, elapsed time doesn't: an idle cell
-/// accumulates no budget.
+/// multiply load. The budget grows with requests and not with time, so no budget
+/// accumulates while no requests arrive.
 class RetryBudget {
 public:
     /// Each request adds \p ratio retries to the budget, up to \p burst retries.
--- a/include/catkinwing/Admission/RetryWindow.h
+++ b/include/catkinwing/Admission/RetryWindow.h
@@ -10,7 +10,7 @@
 struct RetryAllowance {
     /// Retries for each request of the window.
     double ratio { 0.2 };
-    /// Retries allowed in addition to the ratio; this entry's share of them.
+    /// This entry's share of the retries allowed in addition to the ratio.
     double slack { 0 };
     Duration window { std::chrono::seconds(10) };
 };
@@ -19,15 +19,15 @@
 struct RetryTotals {
     std::uint64_t requests { 0 };
     std::uint64_t retries { 0 };
-    /// Retries that were not made because the budget was used up.
+    /// Retries that were not made because the allowance was used up.
     std::uint64_t denied { 0 };
 };
 
 /// Whether a retry is the first one of its request.
 enum class RetryOrder {
     First,
-    /// Retry of a request that was retried before. Less likely to be served, so it
-    /// is allowed only while half of the budget is left.
+    /// Retry of a request that was retried before. Less likely to be served, so such
+    /// a retry is allowed only while at least half of the allowance is left.
     Further,
 };
 
@@ -49,7 +49,7 @@
     /// Takes one retry; false if none is left.
     bool tryRetry(TimePoint now, RetryOrder order = RetryOrder::First);
     bool hasRetry(TimePoint now, RetryOrder order = RetryOrder::First) const;
-    /// Counts a retry that was not made because the budget is used up.
+    /// Counts a retry that was not made because the allowance is used up.
     void noteDenied() { ++m_totals.denied; }
     const RetryTotals& totals() const { return m_totals; }
 
--- a/lib/Admission/AdmissionController.cpp
+++ b/lib/Admission/AdmissionController.cpp
@@ -201,7 +201,7 @@
 QueuedRequest AdmissionController::removeInFlight(RequestId id, double actualCost, TimePoint now)
 {
     auto found = m_inFlight.find(id);
-    assert(found != m_inFlight.end() && "only a request returned by next() can end");
+    assert(found != m_inFlight.end() && "only a request returned by startNext() can end");
     QueuedRequest request = std::move(found->second);
     m_inFlight.erase(found);
     PoolState& pool = findOrCreatePool(request.poolName());
--- a/lib/Admission/DecayingRate.cpp
+++ b/lib/Admission/DecayingRate.cpp
@@ -25,16 +25,17 @@
         add(amount, now);
         return;
     }
-    // Adds the decayed sum of a steady rate over the span. It is at most rate x
-    // smoothing for a span of any length, so the effect of a large amount from a
-    // long span fades as quickly as that of any other.
+    // Adds the decayed sum of a steady rate over the span. The sum is at most rate x
+    // smoothing for a span of any length, so a large amount from a long span affects
+    // the rate no longer than a small amount does.
     decayTo(now);
     m_decayedSum += amount / span * m_smoothing * -std::expm1(-span / m_smoothing);
 }
 
 double DecayingRate::rate(TimePoint now) const
 {
-    // Common case: the rate of a peer, which is held between heartbeats.
+    // heldRate() passes m_decayedAt during the hold time; then no decay is needed. This
+    // is the common case, so it avoids exp().
     if (now <= m_at)
         return m_decayedSum / m_smoothing;
     double age = Seconds(now - m_at).count();
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -18,6 +18,7 @@
 /// The waiting requests of one class of a team, by request group.
 struct PoolQueue::ClassEntry {
     double weight { 1 };
+    /// Virtual service of the class: tokens charged per weight.
     double counter { 0 };
     std::size_t queued { 0 };
     std::map<RequestGroup*, DeadlineQueue> queuesByGroup;
@@ -40,7 +41,7 @@
     std::size_t index { 0 };
     std::string name;
     double weight { 1 };
-    /// The configured weight times the fraction of it that counts in this daemon.
+    /// The configured weight times the factor that applies in this daemon.
     double effectiveWeight { 1 };
     double counter { 0 };
     bool paused { false };
@@ -62,8 +63,8 @@
 
     /// Returns the class with the smallest counter that has a startable request.
     ClassEntry* nextClass();
-    /// Rebases the class counters and limits how far each is behind the virtual time to
-    /// \p credit tokens per weight.
+    /// Subtracts classVirtualTime from all class counters, resets it to zero, and raises
+    /// counters below -\p credit (in tokens per weight) to that value.
     void boundClassCounters(double credit);
 };
 
--- a/lib/Admission/RateBucket.cpp
+++ b/lib/Admission/RateBucket.cpp
@@ -6,8 +6,8 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Tolerance in tokens. Without it, rounding of the refill could refuse a caller
-/// that retries exactly at its retry-after time.
+/// Tolerance in tokens. Without this tolerance, rounding of the refill could refuse a
+/// client that retries exactly at its retry-after time.
 static constexpr double roundingSlack = 1e-6;
 
 RateBucket::RateBucket(double rate, double capacity)
--- a/lib/Admission/RegionalShares.cpp
+++ b/lib/Admission/RegionalShares.cpp
@@ -10,8 +10,7 @@
 static constexpr Duration maxReportAge = std::chrono::minutes(2);
 
 // A team that uses several daemons of a region must get its share once in total, not
-// once per daemon. Two simpler designs fail; the commits and DECISIONS have the
-// figures.
+// once per daemon. Two simpler designs fail.
 //
 // 1. Adding the tokens served by other daemons to the local counter is a feedback
 //    loop with a delay: each of n daemons that finds the team x tokens behind
@@ -35,8 +34,8 @@
 //   daemons.
 // - The shift depends on rates that are common to all teams of a daemon or to all
 //   daemons of a team, so random variation can't move two teams in opposite
-//   directions. The decay of the shift pulls the split back to the capacities. That
-//   costs an error of shift x adaptTime / shiftDecayTime: 4 % where a team should get
+//   directions. The decay of the shift pulls the split back to the capacities. This
+//   decay causes an error of shift x adaptTime / shiftDecayTime: 4 % where a team should get
 //   almost nothing from a daemon.
 // - Where a team should leave a daemon, its weight there decreases exponentially.
 // - Only smoothed rates are used, never totals, so a partition or restart leaves no
@@ -104,7 +103,8 @@
     bool restarted = last.incarnation != source.incarnation;
     if (!restarted && counter.tokens < last.tokens)
         return;
-    // A new incarnation counts from zero, and all of its service came after the last report.
+    // A new incarnation counts from zero, so all of its tokens were served after the last
+    // report.
     auto served = static_cast<double>(restarted ? counter.tokens : counter.tokens - last.tokens);
     last.rate.addSpread(served, last.at, now);
     known.total.addSpread(served, last.at, now);
--- a/lib/Admission/RetryBudget.cpp
+++ b/lib/Admission/RetryBudget.cpp
@@ -4,9 +4,9 @@
 
 namespace catkinwing {
 
-// The budget grows with requests and not with time. A budget per unit of time would
-// let a cell with little traffic send many times its load in retries, which happens
-// just when endpoints fail.
+// The budget grows with requests and not with time. With little traffic, a
+// budget per unit of time would allow retries of many times the load, just when
+// endpoints fail.
 
 RetryBudget::RetryBudget(double ratio, double burst)
     : m_ratio(ratio)
--- a/lib/Admission/SlotDivision.cpp
+++ b/lib/Admission/SlotDivision.cpp
@@ -71,7 +71,9 @@
 std::size_t SlotCredit::update(std::size_t slots, TimePoint now)
 {
     if (m_samples.empty() || m_samples.back().slots != slots) {
-        // The new value replaces equal and greater ones from the time of the first of them.
+        // Earlier samples with at least as many slots can no longer be the min of the
+        // window. Removes them; the new sample starts at the time of the earliest removed
+        // one, so that the samples leave no gap.
         TimePoint since = now;
         while (!m_samples.empty() && m_samples.back().slots >= slots) {
             since = m_samples.back().at;
@@ -79,8 +81,8 @@
         }
         m_samples.push_back({ since, slots });
     }
-    // The front applied until the start of the next sample. Removes it if that start
-    // is outside of the window.
+    // A sample applies until the start of the next one. Removes the front if the next
+    // sample started before the window.
     while (m_samples.size() > 1 && m_samples[1].at <= now - m_growDelay)
         m_samples.pop_front();
     return m_samples.front().slots;
--- a/unittests/Admission/AdmissionControllerTest.cpp
+++ b/unittests/Admission/AdmissionControllerTest.cpp
@@ -89,8 +89,8 @@
     CHECK(reasonOf(fixture.admit("a", "x")) == RefusalReason::CallerConcurrency);
     CHECK(fixture.admit("a", "y").admitted());
     CHECK(reasonOf(fixture.admit("a", "y")) == RefusalReason::TeamQueueFull);
-    // Requests in flight count towards the caller's limit; finished and removed ones
-    // don't.
+    // Requests in flight count towards the caller's limit; requests that ended or were
+    // removed don't.
     std::optional<QueuedRequest> started = fixture.controller.next(alwaysCanStart, fixture.now);
     CHECK(reasonOf(fixture.admit("a", "x")) == RefusalReason::CallerConcurrency);
     fixture.controller.finished(started->id, 0, fixture.now);
@@ -329,8 +329,8 @@
             controller.admit(requestOf("questions", ++id, 300, now(), 10s), now());
         startRequests();
     };
-    // Reviews that started before the first question hold all but one slot for their
-    // minute.
+    // Warm-up of two minutes, not measured: reviews that started before the first
+    // question occupy all but one slot until they end after 60 s.
     for (int i = 0; i < 1200; ++i)
         step(true);
     waits.clear();
--- a/unittests/Admission/RegionFake.h
+++ b/unittests/Admission/RegionFake.h
@@ -11,15 +11,17 @@
 
 namespace catkinwing {
 
-/// Daemon of the fake region, whose slots each serve tokens at a fixed rate.
+/// Daemon of the fake region. Each slot serves tokens at a fixed rate.
 struct DaemonSpec {
     std::string name;
     std::size_t slots { 8 };
+    /// Rate of all slots together.
     double tokensPerSecond { 8000 };
 };
 
 /// Region of daemons that each have a fair queue and exchange served counters in
-/// delayed heartbeats. Serves requests of one pool on a manual clock.
+/// delayed heartbeats. The fake serves requests of one pool on a
+/// manual clock.
 class RegionFake {
 public:
     RegionFake(std::vector<DaemonSpec> daemons, const std::vector<TeamPolicy>& teams, std::uint64_t seed);
@@ -41,6 +43,7 @@
     TimePoint now() const { return m_scheduler.clock().now(); }
 
     Duration heartbeat { std::chrono::milliseconds(500) };
+    /// Time from sending to receiving a heartbeat.
     Duration delay { std::chrono::milliseconds(500) };
 
 private:
--- a/unittests/Admission/RetryWindowTest.cpp
+++ b/unittests/Admission/RetryWindowTest.cpp
@@ -69,7 +69,7 @@
     CHECK(*std::min_element(retries.begin(), retries.end()) > 0);
 }
 
-TEST_CASE("a further retry of a request is allowed only while half of the budget is left")
+TEST_CASE("a further retry of a request is allowed only while half of the allowance is left")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 10, 10s });
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -21,7 +21,7 @@
     CHECK(longestWait(firstAttempt(), 100ms) > 300ms);
     CHECK(longestWait(firstAttempt(), 100ms) < 500ms);
     CHECK(longestWait(firstAttempt(), 400ms) < longestWait(firstAttempt(), 100ms));
-    // Requests may wait for an endpoint that can't meet the target even when idle.
+    // The max wait isn't zero for an endpoint that can't meet the target even when idle.
     CHECK(longestWait(firstAttempt(), 10s) > 50ms);
     WaitDemand withoutTarget = firstAttempt();
     withoutTarget.latencyTarget = 0ms;
@@ -119,9 +119,10 @@
     return result;
 }
 
-// The strongest bursts bring twice the capacity to a region for some seconds. A client
-// with a timeout of five seconds retries after at most 1.7 s, so clients that are
-// refused in the last 1.7 s of a burst can be served.
+// In the strongest bursts, requests arrive in a region at twice the rate that it can
+// serve, for a few seconds. A refused client retries after at most a third of its
+// timeout of 5 s (1.7 s), so only clients refused in the last 1.7 s retry after the
+// burst.
 TEST_CASE("in a burst of twice the capacity, accepted first attempts meet the latency target")
 {
     OverloadResult result = simulateOverload(3s, true);
