--- a/include/catkinwing/Admission/AdmissionController.h
+++ b/include/catkinwing/Admission/AdmissionController.h
@@ -68,10 +68,10 @@
     struct TeamState {
         TeamLimits limits;
         absl::flat_hash_set<std::string> classes;
-        RateBucket rate { 0, 1 };
+        RateBucket rateBucket { 0, 1 };
         std::size_t inFlight { 0 };
         /// Number of each caller's requests, waiting or in flight.
-        absl::flat_hash_map<std::string, std::size_t> callers;
+        absl::flat_hash_map<std::string, std::size_t> requestsByCaller;
     };
     struct PoolState {
         std::optional<std::size_t> slots;
@@ -92,7 +92,7 @@
     void releaseCaller(const QueuedRequest& request);
     QueuedRequest removeInFlight(RequestId id, double actualCost, TimePoint now);
     void updateTeamPaused(const std::string& team);
-    void recordShortDemand(const std::string& pool, TimePoint now);
+    void recordShortWorkDemand(const std::string& pool, TimePoint now);
 
     AdmissionLimits m_limits;
     TimePoint m_refreshedAt {};
--- a/include/catkinwing/Admission/DecayingRate.h
+++ b/include/catkinwing/Admission/DecayingRate.h
@@ -23,7 +23,7 @@
 
     double m_smoothing;
     double m_decayedSum { 0 };
-    TimePoint m_at {};
+    TimePoint m_decayedAt {};
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Admission/DrainRate.h
+++ b/include/catkinwing/Admission/DrainRate.h
@@ -26,7 +26,7 @@
     bool m_busy { false };
     double m_tokens { 0 };
     double m_busySeconds { 0 };
-    TimePoint m_at {};
+    TimePoint m_advancedAt {};
     TimePoint m_busySince {};
     TimePoint m_busyUntil {};
 };
--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -66,7 +66,7 @@
     std::optional<double> teamRate(const QueuedRequest& request, TimePoint now) const;
     /// Returns the factor, above 0 and at most 1.5, by which the team's configured weight
     /// is multiplied in this daemon's pool.
-    double weightFraction(const std::string& team, const std::string& pool, TimePoint now) const;
+    double weightFactor(const std::string& team, const std::string& pool, TimePoint now) const;
 
     /// Returns whether a request is queued.
     bool contains(RequestId id) const;
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -44,12 +44,12 @@
     /// Updates weights and credits.
     void refresh(TimePoint now);
 
-    RegionalShares& regional() { return m_regional; }
+    RegionalShares& regionalShares() { return m_regionalShares; }
     void appendCounters(const std::string& pool, std::vector<ServiceCounter>& counters) const;
     std::optional<Duration> predictedWait(const QueuedRequest& request, TimePoint now) const;
     /// Returns the rate in tokens per second at which a team's requests are started.
     std::optional<double> teamRate(const std::string& team, TimePoint now) const;
-    double weightFraction(const std::string& team, TimePoint now) const;
+    double weightFactor(const std::string& team, TimePoint now) const;
     std::size_t waiting(WorkKind kind) const { return kind == WorkKind::Short ? m_waitingShort : m_waitingLong; }
     bool empty() const { return m_waitingShort + m_waitingLong == 0; }
 
@@ -74,7 +74,7 @@
     double creditFloor(TimePoint now);
 
     SharePolicy m_policy;
-    RegionalShares m_regional;
+    RegionalShares m_regionalShares;
     DecayingRate m_localServedRate;
     /// Rate at which the virtual time advances: the tokens per second that a team of
     /// weight one is served in this pool.
--- a/include/catkinwing/Admission/RegionalShares.h
+++ b/include/catkinwing/Admission/RegionalShares.h
@@ -10,7 +10,7 @@
 namespace catkinwing {
 
 /// Recent rates at which this daemon served a pool, in tokens per second.
-struct LocalService {
+struct LocalServiceRates {
     /// Rate served to the team in question.
     double teamRate { 0 };
     /// Rate served to all teams.
@@ -42,7 +42,7 @@
     /// Updates the shift from the standing of a backlogged team.
     void adapt(const RegionalStanding& standing, TimePoint now);
     /// Returns the factor for the weight, above 0 and at most 1.5.
-    double fraction(const RegionalStanding& standing) const;
+    double weightFactor(const RegionalStanding& standing) const;
 
 private:
     double m_shift { 0 };
@@ -65,7 +65,7 @@
     /// decayed.
     void prune(TimePoint now);
     /// Returns the standing of a team, given the rates of this daemon.
-    RegionalStanding standing(const std::string& team, const LocalService& local, TimePoint now) const;
+    RegionalStanding standing(const std::string& team, const LocalServiceRates& local, TimePoint now) const;
 
 private:
     struct Source {
@@ -76,7 +76,7 @@
     struct Counter {
         std::uint64_t incarnation { 0 };
         std::uint64_t tokens { 0 };
-        TimePoint at {};
+        TimePoint reportedAt {};
         /// Time of the last increase of the count.
         TimePoint servedAt {};
         DecayingRate rate;
--- a/include/catkinwing/Admission/SlotReservation.h
+++ b/include/catkinwing/Admission/SlotReservation.h
@@ -23,7 +23,7 @@
 };
 
 /// Decaying peak of the number of slots that short work needed.
-class ShortDemand {
+class ShortWorkDemand {
 public:
     /// Records that short work used or waited for \p slots at \p now.
     void record(std::size_t slots, TimePoint now, Duration decayTime);
@@ -55,7 +55,7 @@
 
 private:
     ReservationPolicy m_policy;
-    ShortDemand m_demand;
+    ShortWorkDemand m_demand;
 };
 
 } // namespace catkinwing
--- a/lib/Admission/AdmissionController.cpp
+++ b/lib/Admission/AdmissionController.cpp
@@ -41,7 +41,7 @@
         TeamState& state = states[policy.name];
         state = known == m_teams.end() ? makeTeamState(policy) : std::move(known->second);
         state.limits = policy.limits;
-        state.rate.configure(policy.limits.requestsPerSecond, burstSize(policy), now);
+        state.rateBucket.configure(policy.limits.requestsPerSecond, burstSize(policy), now);
         state.classes.clear();
         for (const ClassPolicy& classPolicy : policy.classes)
             state.classes.insert(classPolicy.name);
@@ -55,13 +55,13 @@
 AdmissionController::TeamState AdmissionController::makeTeamState(const TeamPolicy& policy) const
 {
     TeamState state;
-    state.rate = RateBucket(policy.limits.requestsPerSecond, burstSize(policy));
+    state.rateBucket = RateBucket(policy.limits.requestsPerSecond, burstSize(policy));
     // A team that is added again may still have requests in flight from before.
     for (const auto& [id, request] : m_inFlight) {
         if (request.team != policy.name)
             continue;
         ++state.inFlight;
-        ++state.callers[request.caller];
+        ++state.requestsByCaller[request.caller];
     }
     return state;
 }
@@ -90,11 +90,11 @@
         return decision;
     TeamState& team = m_teams.at(request.team);
     if (team.limits.requestsPerSecond > 0)
-        team.rate.take(1, now);
-    ++team.callers[request.caller];
+        team.rateBucket.take(1, now);
+    ++team.requestsByCaller[request.caller];
     std::string pool = request.poolName();
     m_queue.enqueue(std::move(request), now);
-    recordShortDemand(pool, now);
+    recordShortWorkDemand(pool, now);
     return decision;
 }
 
@@ -114,15 +114,15 @@
 
 std::optional<Refusal> AdmissionController::refusalByLimits(TeamState& team, const QueuedRequest& request, TimePoint now) const
 {
-    auto caller = team.callers.find(request.caller);
-    bool named = !request.caller.empty();
-    if (named && caller != team.callers.end() && caller->second >= team.limits.perCaller)
+    auto caller = team.requestsByCaller.find(request.caller);
+    bool hasCaller = !request.caller.empty();
+    if (hasCaller && caller != team.requestsByCaller.end() && caller->second >= team.limits.perCaller)
         return Refusal { RefusalReason::CallerConcurrency, std::nullopt };
     if (m_queue.teamSize(request.team) >= team.limits.queued)
         return Refusal { RefusalReason::TeamQueueFull, timeToDrain(request, now) };
     if (team.limits.requestsPerSecond <= 0)
         return std::nullopt;
-    Duration wait = team.rate.timeUntil(1, now);
+    Duration wait = team.rateBucket.timeUntil(1, now);
     if (wait == Duration::zero())
         return std::nullopt;
     return Refusal { RefusalReason::RequestRate, wait };
@@ -236,10 +236,10 @@
         releaseCaller(*removed);
         return true;
     }
-    auto late = std::find_if(m_expired.begin(), m_expired.end(), [id](const DroppedRequest& dropped) { return dropped.request.id == id; });
-    if (late == m_expired.end())
+    auto expired = std::find_if(m_expired.begin(), m_expired.end(), [id](const DroppedRequest& dropped) { return dropped.request.id == id; });
+    if (expired == m_expired.end())
         return false;
-    m_expired.erase(late);
+    m_expired.erase(expired);
     return true;
 }
 
@@ -258,7 +258,7 @@
     m_refreshedAt = now;
     m_queue.refreshShares(now);
     for (auto& [name, pool] : m_pools)
-        recordShortDemand(name, now);
+        recordShortWorkDemand(name, now);
     return dropped;
 }
 
@@ -273,9 +273,9 @@
     auto team = m_teams.find(request.team);
     if (team == m_teams.end())
         return;
-    auto caller = team->second.callers.find(request.caller);
-    if (caller != team->second.callers.end() && --caller->second == 0)
-        team->second.callers.erase(caller);
+    auto caller = team->second.requestsByCaller.find(request.caller);
+    if (caller != team->second.requestsByCaller.end() && --caller->second == 0)
+        team->second.requestsByCaller.erase(caller);
 }
 
 void AdmissionController::updateTeamPaused(const std::string& team)
@@ -284,7 +284,7 @@
     m_queue.setTeamPaused(team, state.inFlight >= state.limits.inFlight);
 }
 
-void AdmissionController::recordShortDemand(const std::string& pool, TimePoint now)
+void AdmissionController::recordShortWorkDemand(const std::string& pool, TimePoint now)
 {
     PoolState& state = findOrCreatePool(pool);
     state.reservation.noteShort(state.shortInFlight, m_queue.waiting(pool, WorkKind::Short), now);
--- a/lib/Admission/DecayingRate.cpp
+++ b/lib/Admission/DecayingRate.cpp
@@ -36,23 +36,23 @@
 {
     // heldRate() passes m_decayedAt during the hold time; then no decay is needed. This
     // is the common case, so it avoids exp().
-    if (now <= m_at)
+    if (now <= m_decayedAt)
         return m_decayedSum / m_smoothing;
-    double age = Seconds(now - m_at).count();
+    double age = Seconds(now - m_decayedAt).count();
     return m_decayedSum * std::exp(-age / m_smoothing) / m_smoothing;
 }
 
 double DecayingRate::heldRate(TimePoint now, Duration holdTime) const
 {
-    return rate(std::max(m_at, now - holdTime));
+    return rate(std::max(m_decayedAt, now - holdTime));
 }
 
 void DecayingRate::decayTo(TimePoint now)
 {
-    if (now <= m_at)
+    if (now <= m_decayedAt)
         return;
-    m_decayedSum *= std::exp(-Seconds(now - m_at).count() / m_smoothing);
-    m_at = now;
+    m_decayedSum *= std::exp(-Seconds(now - m_decayedAt).count() / m_smoothing);
+    m_decayedAt = now;
 }
 
 } // namespace catkinwing
--- a/lib/Admission/DrainRate.cpp
+++ b/lib/Admission/DrainRate.cpp
@@ -45,15 +45,15 @@
 
 void DrainRate::advance(TimePoint now)
 {
-    if (now <= m_at)
+    if (now <= m_advancedAt)
         return;
     if (m_busy) {
-        double span = Seconds(now - m_at).count();
+        double span = Seconds(now - m_advancedAt).count();
         double decay = std::exp(-span / smoothingSeconds);
         m_tokens *= decay;
         m_busySeconds = m_busySeconds * decay + smoothingSeconds * (1 - decay);
     }
-    m_at = now;
+    m_advancedAt = now;
 }
 
 } // namespace catkinwing
--- a/lib/Admission/FairQueue.cpp
+++ b/lib/Admission/FairQueue.cpp
@@ -314,13 +314,13 @@
 
 void FairQueue::applyRemoteService(const ServiceSource& source, const ServiceCounter& counter, TimePoint now)
 {
-    m_state->findOrCreatePool(counter.pool).regional().apply(source, counter, now);
+    m_state->findOrCreatePool(counter.pool).regionalShares().apply(source, counter, now);
 }
 
 void FairQueue::removeSource(const std::string& source)
 {
     for (auto& [name, pool] : m_state->pools)
-        pool->regional().forget(source);
+        pool->regionalShares().forget(source);
 }
 
 std::vector<ServiceCounter> FairQueue::servedCounters() const
@@ -343,10 +343,10 @@
     return pool ? pool->teamRate(request.team, now) : std::nullopt;
 }
 
-double FairQueue::weightFraction(const std::string& team, const std::string& pool, TimePoint now) const
+double FairQueue::weightFactor(const std::string& team, const std::string& pool, TimePoint now) const
 {
     const PoolQueue* found = m_state->findPool(pool);
-    return found ? found->weightFraction(team, now) : 1;
+    return found ? found->weightFactor(team, now) : 1;
 }
 
 bool FairQueue::contains(RequestId id) const
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -10,7 +10,7 @@
     RequestGroupKey key;
     /// Counter and index of each team with requests in the group that isn't paused.
     std::set<std::pair<double, std::size_t>> teamsByCounter;
-    std::size_t queued { 0 };
+    std::size_t queuedCount { 0 };
     /// Result of the start predicate in the current pick.
     bool canStart { false };
 };
@@ -20,7 +20,7 @@
     double weight { 1 };
     /// Virtual service of the class: tokens charged per weight.
     double counter { 0 };
-    std::size_t queued { 0 };
+    std::size_t queuedCount { 0 };
     std::map<RequestGroup*, DeadlineQueue> queuesByGroup;
 
     double cost() const;
@@ -45,7 +45,7 @@
     double effectiveWeight { 1 };
     double counter { 0 };
     bool paused { false };
-    std::size_t queued { 0 };
+    std::size_t queuedCount { 0 };
     /// Number of requests in each group. Unless the team is paused, it is in the
     /// teamsByCounter set of each of these groups.
     std::map<RequestGroup*, std::size_t> requestsByGroup;
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -18,7 +18,7 @@
 
 PoolQueue::PoolQueue(const SharePolicy& policy)
     : m_policy(policy)
-    , m_regional(policy)
+    , m_regionalShares(policy)
     , m_localServedRate(policy.rateSmoothing)
     , m_virtualTimeRate(policy.rateSmoothing)
 {
@@ -68,11 +68,11 @@
     TeamEntry* team = find(name);
     if (!team)
         return;
-    assert(!team->queued && "a team with queued requests can't be removed");
+    assert(!team->queuedCount && "a team with queued requests can't be removed");
     if (team->maxServed >= 1)
         m_removedServed[name] = team->maxServed;
     m_byName.erase(name);
-    m_regional.forgetTeam(name);
+    m_regionalShares.forgetTeam(name);
     // The last team takes the freed index, which is part of its key in the groups'
     // teamsByCounter sets.
     TeamEntry& last = *m_teams.back();
@@ -133,18 +133,18 @@
     TeamEntry& team = *find(request.team);
     auto [groupEntry, isNewGroup] = m_groups.try_emplace({ request.model, request.kind });
     RequestGroup& group = groupEntry->second;
-    if (!team.queued)
+    if (!team.queuedCount)
         beginBacklog(team, group, now);
     ClassEntry& entry = team.classes.at(request.requestClass);
     // Like an idle team, an idle class accumulates no credit against the team's other
     // classes.
-    if (!entry.queued)
+    if (!entry.queuedCount)
         entry.counter = std::max(entry.counter, team.classVirtualTime);
 
     entry.queuesByGroup[&group].add(request);
-    ++entry.queued;
-    ++team.queued;
-    ++group.queued;
+    ++entry.queuedCount;
+    ++team.queuedCount;
+    ++group.queuedCount;
     if (++team.requestsByGroup[&group] == 1 && !team.paused)
         group.teamsByCounter.insert({ team.counter, team.index });
     ++(request.kind == WorkKind::Short ? m_waitingShort : m_waitingLong);
@@ -187,16 +187,16 @@
     queue->second.remove(request);
     if (queue->second.empty())
         entry.queuesByGroup.erase(queue);
-    --entry.queued;
-    --team.queued;
+    --entry.queuedCount;
+    --team.queuedCount;
     --(request.kind == WorkKind::Short ? m_waitingShort : m_waitingLong);
     if (--team.requestsByGroup[&group] == 0) {
         group.teamsByCounter.erase({ team.counter, team.index });
         team.requestsByGroup.erase(&group);
     }
-    if (--group.queued == 0)
+    if (--group.queuedCount == 0)
         m_groups.erase(groupEntry);
-    if (!team.queued)
+    if (!team.queuedCount)
         endBacklog(team, now);
 }
 
@@ -274,26 +274,26 @@
     m_localServedRate.add(increase, now);
 }
 
-double PoolQueue::weightFraction(const std::string& name, TimePoint now) const
+double PoolQueue::weightFactor(const std::string& name, TimePoint now) const
 {
     const TeamEntry* team = find(name);
-    return team ? team->shift.fraction(regionalStanding(*team, now)) : 1;
+    return team ? team->shift.weightFactor(regionalStanding(*team, now)) : 1;
 }
 
 RegionalStanding PoolQueue::regionalStanding(const TeamEntry& team, TimePoint now) const
 {
-    LocalService local { team.rate.rate(now), m_localServedRate.rate(now), m_virtualTimeRate.rate(now) * team.weight };
-    return m_regional.standing(team.name, local, now);
+    LocalServiceRates local { team.rate.rate(now), m_localServedRate.rate(now), m_virtualTimeRate.rate(now) * team.weight };
+    return m_regionalShares.standing(team.name, local, now);
 }
 
 void PoolQueue::updateEffectiveWeight(TeamEntry& team, TimePoint now)
 {
-    double weight = team.weight * weightFraction(team.name, now);
+    double weight = team.weight * weightFactor(team.name, now);
     double old = team.effectiveWeight;
     if (weight == old)
         return;
     team.effectiveWeight = weight;
-    if (team.queued)
+    if (team.queuedCount)
         m_backloggedWeight += weight - old;
     // A lead of the team over the virtual time stays the same in tokens, so that a
     // charge made at a small effective weight doesn't block the team after the weight
@@ -305,7 +305,7 @@
 
 void PoolQueue::refresh(TimePoint now)
 {
-    m_regional.prune(now);
+    m_regionalShares.prune(now);
     rebaseCounters();
     double floor = creditFloor(now);
     double credit = Seconds(m_policy.creditWindow).count();
@@ -314,7 +314,7 @@
     for (const auto& team : m_teams) {
         if (team->classVirtualTime > rebaseThreshold)
             team->boundClassCounters(rebaseThreshold);
-        if (!team->queued)
+        if (!team->queuedCount)
             continue;
         team->shift.adapt(regionalStanding(*team, now), now);
         updateEffectiveWeight(*team, now);
@@ -364,14 +364,14 @@
     std::optional<double> poolRate = m_drainRate.rate(now);
     if (!poolRate)
         return std::nullopt;
-    double competingWeight = m_backloggedWeight + (team->queued ? 0 : team->effectiveWeight);
+    double competingWeight = m_backloggedWeight + (team->queuedCount ? 0 : team->effectiveWeight);
     return *poolRate * team->effectiveWeight / std::max(competingWeight, team->effectiveWeight);
 }
 
 std::optional<Duration> PoolQueue::predictedWait(const QueuedRequest& request, TimePoint now) const
 {
     const TeamEntry* team = find(request.team);
-    if (!team || !team->queued)
+    if (!team || !team->queuedCount)
         return Duration::zero();
     auto own = team->classes.find(request.requestClass);
     if (own == team->classes.end())
@@ -386,7 +386,7 @@
     double weights = own->second.weight;
     double others = 0;
     for (const auto& [name, entry] : team->classes) {
-        if (&entry == &own->second || !entry.queued)
+        if (&entry == &own->second || !entry.queuedCount)
             continue;
         weights += entry.weight;
         others += entry.cost();
--- a/lib/Admission/RateBucket.cpp
+++ b/lib/Admission/RateBucket.cpp
@@ -8,7 +8,7 @@
 
 /// Tolerance in tokens. Without this tolerance, rounding of the refill could refuse a
 /// client that retries exactly at its retry-after time.
-static constexpr double roundingSlack = 1e-6;
+static constexpr double roundingTolerance = 1e-6;
 
 RateBucket::RateBucket(double rate, double capacity)
     : m_rate(rate)
@@ -20,7 +20,7 @@
 bool RateBucket::take(double tokens, TimePoint now)
 {
     refill(now);
-    if (m_tokens + roundingSlack < tokens)
+    if (m_tokens + roundingTolerance < tokens)
         return false;
     m_tokens = std::max(0.0, m_tokens - tokens);
     return true;
@@ -30,7 +30,7 @@
 {
     refill(now);
     double missing = tokens - m_tokens;
-    if (missing <= roundingSlack)
+    if (missing <= roundingTolerance)
         return Duration::zero();
     if (m_rate <= 0 || tokens > m_capacity)
         return Duration::max();
--- a/lib/Admission/RegionalShares.cpp
+++ b/lib/Admission/RegionalShares.cpp
@@ -60,7 +60,7 @@
 static constexpr double maxLogDeficit = 1.5;
 static constexpr double minShift = -3;
 static constexpr double maxShift = 3;
-static constexpr double maxFraction = 1.5;
+static constexpr double maxWeightFactor = 1.5;
 /// Min capacity of this daemon, as a fraction of the mean of the others. An idle
 /// daemon serves nothing but still has capacity.
 static constexpr double minCapacityFraction = 0.1;
@@ -75,11 +75,11 @@
     m_shift = std::clamp(m_shift, minShift, maxShift);
 }
 
-double WeightShift::fraction(const RegionalStanding& standing) const
+double WeightShift::weightFactor(const RegionalStanding& standing) const
 {
     if (!standing.isShared)
         return 1;
-    return std::min(maxFraction, standing.capacityShare * std::exp(m_shift + standing.logDeficit));
+    return std::min(maxWeightFactor, standing.capacityShare * std::exp(m_shift + standing.logDeficit));
 }
 
 RegionalShares::RegionalShares(const SharePolicy& policy)
@@ -106,13 +106,13 @@
     // A new incarnation counts from zero, so all of its tokens were served after the last
     // report.
     auto served = static_cast<double>(restarted ? counter.tokens : counter.tokens - last.tokens);
-    last.rate.addSpread(served, last.at, now);
-    known.total.addSpread(served, last.at, now);
+    last.rate.addSpread(served, last.reportedAt, now);
+    known.total.addSpread(served, last.reportedAt, now);
     if (served > 0)
         last.servedAt = now;
     last.incarnation = source.incarnation;
     last.tokens = counter.tokens;
-    last.at = now;
+    last.reportedAt = now;
 }
 
 void RegionalShares::forget(const std::string& source)
@@ -134,32 +134,32 @@
         forget(name);
 }
 
-RegionalStanding RegionalShares::standing(const std::string& team, const LocalService& local, TimePoint now) const
+RegionalStanding RegionalShares::standing(const std::string& team, const LocalServiceRates& local, TimePoint now) const
 {
     RegionalStanding standing;
     auto found = m_teams.find(team);
     if (found == m_teams.end())
         return standing;
-    double remote = 0;
-    double capacity = 0;
-    double daemons = 0;
+    double remoteRate = 0;
+    double remoteCapacity = 0;
+    double servingDaemons = 0;
     for (const auto& [name, counter] : found->second) {
-        remote += counter.rate.heldRate(now, m_policy.peerSilence);
-        bool serves = now - counter.servedAt <= m_policy.peerIdle && now - counter.at <= m_policy.peerSilence;
+        remoteRate += counter.rate.heldRate(now, m_policy.peerSilence);
+        bool serves = now - counter.servedAt <= m_policy.peerIdle && now - counter.reportedAt <= m_policy.peerSilence;
         if (!serves)
             continue;
-        capacity += m_sources.at(name).total.heldRate(now, m_policy.peerSilence);
-        ++daemons;
+        remoteCapacity += m_sources.at(name).total.heldRate(now, m_policy.peerSilence);
+        ++servingDaemons;
     }
     // A rate below one token per second doesn't count as use of another daemon.
-    if (remote < 1)
+    if (remoteRate < 1)
         return standing;
     standing.isShared = true;
-    if (daemons > 0) {
-        double own = std::max(local.totalRate, minCapacityFraction * capacity / daemons);
-        standing.capacityShare = own / std::max(1.0, own + capacity);
+    if (servingDaemons > 0) {
+        double own = std::max(local.totalRate, minCapacityFraction * remoteCapacity / servingDaemons);
+        standing.capacityShare = own / std::max(1.0, own + remoteCapacity);
     }
-    double logDeficit = std::log(std::max(1.0, local.fairRate) / (local.teamRate + remote));
+    double logDeficit = std::log(std::max(1.0, local.fairRate) / (local.teamRate + remoteRate));
     standing.logDeficit = std::clamp(logDeficit, -maxLogDeficit, maxLogDeficit);
     return standing;
 }
--- a/lib/Admission/RetryBudget.cpp
+++ b/lib/Admission/RetryBudget.cpp
@@ -28,8 +28,8 @@
 bool RetryBudget::tryRetry()
 {
     // The sum of ten times 0.1 is slightly less than one in binary floating point.
-    constexpr double roundingSlack = 1e-9;
-    if (m_available + roundingSlack < 1)
+    constexpr double roundingTolerance = 1e-9;
+    if (m_available + roundingTolerance < 1)
         return false;
     m_available = std::max(0.0, m_available - 1);
     return true;
--- a/lib/Admission/SlotReservation.cpp
+++ b/lib/Admission/SlotReservation.cpp
@@ -7,13 +7,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
-void ShortDemand::record(std::size_t slots, TimePoint now, Duration decayTime)
+void ShortWorkDemand::record(std::size_t slots, TimePoint now, Duration decayTime)
 {
     m_peak = std::max(static_cast<double>(slots), peak(now, decayTime));
     m_recordedAt = now;
 }
 
-double ShortDemand::peak(TimePoint now, Duration decayTime) const
+double ShortWorkDemand::peak(TimePoint now, Duration decayTime) const
 {
     return m_peak * std::exp(-Seconds(now - m_recordedAt) / Seconds(decayTime));
 }
--- a/unittests/Admission/RegionFake.cpp
+++ b/unittests/Admission/RegionFake.cpp
@@ -48,10 +48,10 @@
 {
     Daemon& daemon = m_daemons.at(name);
     if (!backlogged) {
-        daemon.backlogged.erase(team);
+        daemon.backloggedTeams.erase(team);
         return;
     }
-    daemon.backlogged.insert(team);
+    daemon.backloggedTeams.insert(team);
     startWork(daemon);
 }
 
@@ -100,7 +100,7 @@
 
 void RegionFake::fillBacklog(Daemon& daemon)
 {
-    for (const std::string& team : daemon.backlogged) {
+    for (const std::string& team : daemon.backloggedTeams) {
         while (daemon.queue->teamSize(team) < backlogDepth) {
             auto mean = m_meanCost.find(team);
             double cost = (mean == m_meanCost.end() ? 500 : mean->second) * -std::log(1 - m_random.unit()) + 1;
@@ -112,17 +112,17 @@
 void RegionFake::startWork(Daemon& daemon)
 {
     fillBacklog(daemon);
-    while (daemon.busy < daemon.spec.slots) {
+    while (daemon.busySlots < daemon.spec.slots) {
         std::optional<QueuedRequest> next = daemon.queue->pickNext([](const QueuedRequest&) { return true; }, now());
         if (!next)
             return;
         fillBacklog(daemon);
-        ++daemon.busy;
+        ++daemon.busySlots;
         daemon.served[next->team] += next->cost;
         double slotRate = daemon.spec.tokensPerSecond / static_cast<double>(daemon.spec.slots);
         auto service = std::chrono::ceil<Duration>(std::chrono::duration<double>(next->cost / slotRate));
         m_scheduler.callAfter(service, [this, &daemon] {
-            --daemon.busy;
+            --daemon.busySlots;
             startWork(daemon);
         });
     }
@@ -131,7 +131,7 @@
 void RegionFake::scheduleHeartbeats(const std::string& name)
 {
     sendHeartbeats(name);
-    m_scheduler.callAfter(heartbeat, [this, name] { scheduleHeartbeats(name); });
+    m_scheduler.callAfter(heartbeatInterval, [this, name] { scheduleHeartbeats(name); });
 }
 
 void RegionFake::sendHeartbeats(const std::string& name)
@@ -143,7 +143,7 @@
         if (peer == name || m_partitions.count({ name, peer }))
             continue;
         std::string to = peer;
-        m_scheduler.callAfter(delay, [this, source, to, counters = daemon.queue->servedCounters()] {
+        m_scheduler.callAfter(heartbeatDelay, [this, source, to, counters = daemon.queue->servedCounters()] {
             for (const ServiceCounter& counter : counters)
                 m_daemons.at(to).queue->applyRemoteService(source, counter, now());
         });
--- a/unittests/Admission/RegionFake.h
+++ b/unittests/Admission/RegionFake.h
@@ -42,17 +42,17 @@
     FairQueue& queue(const std::string& daemon) { return *m_daemons.at(daemon).queue; }
     TimePoint now() const { return m_scheduler.clock().now(); }
 
-    Duration heartbeat { std::chrono::milliseconds(500) };
+    Duration heartbeatInterval { std::chrono::milliseconds(500) };
     /// Time from sending to receiving a heartbeat.
-    Duration delay { std::chrono::milliseconds(500) };
+    Duration heartbeatDelay { std::chrono::milliseconds(500) };
 
 private:
     struct Daemon {
         DaemonSpec spec;
         std::unique_ptr<FairQueue> queue;
         std::uint64_t incarnation { 1 };
-        std::size_t busy { 0 };
-        std::set<std::string> backlogged;
+        std::size_t busySlots { 0 };
+        std::set<std::string> backloggedTeams;
         std::map<std::string, double> served;
     };
 
--- a/unittests/Admission/RegionalSharesTest.cpp
+++ b/unittests/Admission/RegionalSharesTest.cpp
@@ -77,8 +77,8 @@
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
         RegionFake region(daemonsNamed(all), { teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) }, seed);
-        region.heartbeat = 1s;
-        region.delay = 1s;
+        region.heartbeatInterval = 1s;
+        region.heartbeatDelay = 1s;
         std::vector<Expected> expected { { "a", all, 0.1 }, { "b", all, 0.2 }, { "c", all, 0.7 } };
         startBacklogs(region, expected);
         for (int window = 0; window < 4; ++window)
@@ -166,7 +166,7 @@
     SharePolicy policy;
     RegionalShares shares(policy);
     TimePoint now {};
-    LocalService local { 1000, 1000, 2000 };
+    LocalServiceRates local { 1000, 1000, 2000 };
     auto receive = [&](std::uint64_t incarnation, std::uint64_t tokens) {
         shares.apply({ "peer", incarnation }, { "a", "m", tokens }, now);
     };
