--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -42,9 +42,9 @@
     std::optional<QueuedRequest> remove(RequestId id, TimePoint now);
     /// Removes and returns the requests that can no longer meet their deadlines.
     std::vector<QueuedRequest> expire(TimePoint now);
-    /// Evicts and returns the request that ranks lowest: the one with the latest deadline
-    /// in the largest class of the team that holds most of the queue, all relative to
-    /// weights. Empty if \p newcomer itself would rank lowest.
+    /// Evicts and returns the request that ranks lowest: of the team with the most queued
+    /// bytes per weight, and of its class with the most queued bytes per weight, the
+    /// request with the latest deadline. Empty if \p newcomer itself would rank lowest.
     std::optional<QueuedRequest> evictFor(const QueuedRequest& newcomer, TimePoint now);
     /// Stops or resumes starting a team's requests, for example at its in-flight limit.
     void setTeamPaused(const std::string& team, bool paused);
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -80,6 +80,8 @@
     /// weight one is served in this pool.
     DecayingRate m_virtualTimeRate;
     DrainRate m_drainRate;
+    /// Largest team counter at a pick since the counters were last rebased. A team with
+    /// a smaller counter has received less than its share.
     double m_virtualTime { 0 };
     /// Virtual time at the recent refreshes, covering the credit window.
     std::deque<std::pair<TimePoint, double>> m_virtualTimeHistory;
--- a/include/catkinwing/Admission/RetryWindow.h
+++ b/include/catkinwing/Admission/RetryWindow.h
@@ -31,8 +31,8 @@
     Further,
 };
 
-/// One entry's share of the retries that all entries together may make. Needs no
-/// messages between entries: the sum over all entries stays within the allowance
+/// One entry's share of the retries that all entries together may make. The entries
+/// exchange no messages for this: the sum over all entries stays within the allowance
 /// when load moves between them and when entries restart or are partitioned.
 class RetryWindow {
 public:
@@ -54,7 +54,7 @@
     const RetryTotals& totals() const { return m_totals; }
 
 private:
-    /// Counts of one time step.
+    /// Counts of one time step; \p number is its time since the epoch in steps.
     struct Step {
         std::int64_t number { 0 };
         std::uint64_t requests { 0 };
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -43,6 +43,7 @@
     double weight { 1 };
     /// The configured weight times the factor that applies in this daemon.
     double effectiveWeight { 1 };
+    /// Virtual service of the team: tokens charged per effective weight.
     double counter { 0 };
     bool paused { false };
     std::size_t queuedCount { 0 };
@@ -57,7 +58,7 @@
     /// Maximum of the tokens charged so far, reported to the other daemons.
     double maxServed { 0 };
     WeightShift shift;
-    /// Smoothed rate of maxServed, as the other daemons compute it from the reports.
+    /// Smoothed rate of maxServedTokens, as the other daemons compute it from the reports.
     DecayingRate rate;
     DrainRate drainRate;
 
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -11,7 +11,7 @@
 /// Virtual time at which all counters are rebased, long before the precision of a
 /// double becomes insufficient.
 static constexpr double rebaseThreshold = 1e12;
-/// Maximum age of a team's own drain rate for predictions.
+/// Maximum age at which a team's own drain rate is still used for predictions.
 static constexpr Duration maxRateAge = std::chrono::seconds(30);
 /// Maximum predicted wait; longer predictions are clamped to it.
 static constexpr double maxPredictedWaitSeconds = 86400;
@@ -225,7 +225,7 @@
         if (queue != entry.queuesByGroup.end())
             head = &queue->second.front();
     }
-    assert(head && "a team in a group's order must have requests in it");
+    assert(head && "a team in teamsByCounter must have requests in the group");
     return *head;
 }
 
--- a/lib/Admission/RetryWindow.cpp
+++ b/lib/Admission/RetryWindow.cpp
@@ -8,15 +8,15 @@
 // In each window, the retries of an entry are limited to the ratio times the mean of
 // its requests in that window and in the previous one, plus slack and phase. Both
 // windows are the same at all entries, so the limit holds for the sum over all
-// entries too: the mean over all requests is at most the larger of the two counts.
+// entries too: the mean of the two counts of all requests is at most the larger one.
 //
-// Half of the allowance from the previous window can be used at once, for example
-// after a crash. The other half becomes available as requests arrive, also at an
-// entry that has just begun to receive requests.
+// Half of the retries allowed for the requests of the previous window are available
+// at once, for example after a crash. The other half becomes available as requests
+// arrive, also at an entry that has just begun to receive requests.
 //
 // The max number of requests of any past window would be a wrong limit: when load
 // moves, the entries that lose it would use their old allowance while the entries
-// that get it earn the same allowance again.
+// that receive the load get the same allowance again.
 
 /// Max time from the decision to retry until the retry arrives, with a new connection.
 /// The retry also counts in windows that begin within this time.
--- a/unittests/Admission/AdmissionControllerTest.cpp
+++ b/unittests/Admission/AdmissionControllerTest.cpp
@@ -78,7 +78,7 @@
     CHECK(fixture.controller.inFlight() == 3);
 }
 
-TEST_CASE("requests over a team's or caller's limit are refused with that reason")
+TEST_CASE("requests over a team's or caller's limit are refused with the reason of that limit")
 {
     TeamLimits limits;
     limits.queued = 3;
--- a/unittests/Admission/DrainRateTest.cpp
+++ b/unittests/Admission/DrainRateTest.cpp
@@ -23,7 +23,7 @@
 {
     DrainRate drain;
     TimePoint now { 1h };
-    // Each fifth request waits for a tenth of a second; the others start at once.
+    // Every fifth request waits for a tenth of a second; the others start at once.
     for (int i = 0; i < 500; ++i) {
         drain.setBusy(true, now);
         TimePoint started = now + (i % 5 == 0 ? 100ms : 0ms);
--- a/unittests/Admission/FairQueueTest.cpp
+++ b/unittests/Admission/FairQueueTest.cpp
@@ -203,7 +203,7 @@
     CHECK(queue.size() == 0);
 }
 
-TEST_CASE("eviction removes a request of the team that holds most per weight")
+TEST_CASE("eviction removes a request of the team that holds the most bytes per weight")
 {
     FairQueue queue;
     TimePoint now {};
@@ -221,7 +221,7 @@
     CHECK(queue.evictFor(requestOf("greedy", 22, 100, now, 1s), now)->id == 12);
 }
 
-TEST_CASE("a configuration change updates weights and returns orphaned requests")
+TEST_CASE("a configuration change updates weights and returns the requests of removed teams and classes")
 {
     FairQueue queue;
     TimePoint now {};
--- a/unittests/Admission/RegionalSharesTest.cpp
+++ b/unittests/Admission/RegionalSharesTest.cpp
@@ -23,7 +23,8 @@
     }
 }
 
-/// Runs for \p span and returns the largest shortfall of a team against its share.
+/// Runs for \p span and returns the largest shortfall of a team, as a
+/// fraction of its share.
 static double worstShortfall(RegionFake& region, const std::vector<Expected>& expected, Duration span)
 {
     region.resetServed();
--- a/unittests/Admission/RetryWindowTest.cpp
+++ b/unittests/Admission/RetryWindowTest.cpp
@@ -17,7 +17,7 @@
     return retries;
 }
 
-TEST_CASE("half of the retries earned in the last window are available at once, and the rest as requests arrive")
+TEST_CASE("half of the retries allowed for the last window are available at once, and the rest as requests arrive")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 4, 10s });
@@ -69,7 +69,7 @@
     CHECK(*std::min_element(retries.begin(), retries.end()) > 0);
 }
 
-TEST_CASE("a further retry of a request is allowed only while half of the allowance is left")
+TEST_CASE("a further retry of a request is allowed only while at least half of the allowance is left")
 {
     RetryWindow budget;
     budget.setAllowance({ 0.2, 10, 10s });
--- a/unittests/Admission/SlotsTest.cpp
+++ b/unittests/Admission/SlotsTest.cpp
@@ -61,8 +61,8 @@
     }
 }
 
-/// Entries that receive a change of demand at different times and delay the growth
-/// of their credits.
+/// Simulates entries that receive a change of demand at different times and delay the
+/// growth of their credits.
 struct StaleViews {
     std::vector<EntryDemand> before;
     std::vector<EntryDemand> after;
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -73,8 +73,9 @@
 } // namespace
 
 /// Simulates ten seconds of load on one endpoint that takes 10 ms per request. During
-/// the first \p overload the load is twice the capacity. Each refused client retries
-/// once.
+/// the first \p overload the load is twice the capacity. With
+/// \p isLimited, requests beyond the max wait are refused, and each refused client
+/// retries once.
 static OverloadResult simulateOverload(Duration overload, bool isLimited)
 {
     struct Retry {
