--- a/include/catkinwing/Admission/AdmissionController.h
+++ b/include/catkinwing/Admission/AdmissionController.h
@@ -86,7 +86,7 @@
     std::optional<Refusal> refusalByLimits(TeamState& team, const QueuedRequest& request, TimePoint now) const;
     std::optional<Refusal> refusalByDeadline(const QueuedRequest& request, TimePoint now) const;
     std::optional<Duration> timeToDrain(const QueuedRequest& request, TimePoint now) const;
-    std::optional<Refusal> evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& dropped);
+    std::optional<Refusal> evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& evicted);
     void collectExpired(TimePoint now);
     DroppedRequest drop(QueuedRequest request, Refusal refusal);
     void releaseCaller(const QueuedRequest& request);
--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -44,8 +44,8 @@
     std::vector<QueuedRequest> expire(TimePoint now);
     /// Evicts and returns the request that ranks lowest: of the team with the most queued
     /// bytes per weight, and of its class with the most queued bytes per weight, the
-    /// request with the latest deadline. Empty if \p newcomer itself would rank lowest.
-    std::optional<QueuedRequest> evictFor(const QueuedRequest& newcomer, TimePoint now);
+    /// request with the latest deadline. Empty if \p newRequest itself would rank lowest.
+    std::optional<QueuedRequest> evictFor(const QueuedRequest& newRequest, TimePoint now);
     /// Stops or resumes starting a team's requests, for example at its in-flight limit.
     void setTeamPaused(const std::string& team, bool paused);
     /// Updates weights and credits; to be called about every half second.
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -24,7 +24,7 @@
     explicit PoolQueue(const SharePolicy& policy);
     ~PoolQueue();
 
-    bool hasTeam(const std::string& team) const { return m_byName.contains(team); }
+    bool hasTeam(const std::string& team) const { return m_teamsByName.contains(team); }
     /// Applies a team's weights; adds the team if it is new.
     void setTeam(const TeamPolicy& policy, bool paused, TimePoint now);
     /// Removes a team, which must have no queued requests.
@@ -89,7 +89,7 @@
     std::size_t m_waitingShort { 0 };
     std::size_t m_waitingLong { 0 };
     std::vector<std::unique_ptr<TeamEntry>> m_teams;
-    absl::flat_hash_map<std::string, TeamEntry*> m_byName;
+    absl::flat_hash_map<std::string, TeamEntry*> m_teamsByName;
     /// Tokens served to removed teams. The counter of a team that is added again
     /// continues from there, since the other daemons treat a counter that decreased as
     /// an outdated report.
--- a/lib/Admission/AdmissionController.cpp
+++ b/lib/Admission/AdmissionController.cpp
@@ -157,7 +157,7 @@
     return std::chrono::ceil<Duration>(Seconds(seconds));
 }
 
-std::optional<Refusal> AdmissionController::evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& dropped)
+std::optional<Refusal> AdmissionController::evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& evicted)
 {
     if (request.bytes > m_limits.queuedBytes)
         return Refusal { RefusalReason::QueueBytesFull, std::nullopt };
@@ -169,7 +169,7 @@
         if (!victim)
             return Refusal { fitsCount ? RefusalReason::QueueBytesFull : RefusalReason::QueueFull, timeToDrain(request, now) };
         std::optional<Duration> retryAfter = timeToDrain(*victim, now);
-        dropped.push_back(drop(std::move(*victim), { RefusalReason::Evicted, retryAfter }));
+        evicted.push_back(drop(std::move(*victim), { RefusalReason::Evicted, retryAfter }));
     }
     return Refusal { RefusalReason::QueueBytesFull, timeToDrain(request, now) };
 }
--- a/lib/Admission/FairQueue.cpp
+++ b/lib/Admission/FairQueue.cpp
@@ -27,7 +27,7 @@
     struct TeamBacklog {
         TeamPolicy policy;
         bool paused { false };
-        std::size_t queued { 0 };
+        std::size_t queuedCount { 0 };
         std::size_t heldBytes { 0 };
         std::map<std::string, ClassBacklog> classes;
     };
@@ -53,7 +53,7 @@
     void setHeldBytes(const std::string& name, TeamBacklog& team, std::size_t heldBytes);
     QueuedRequest extractRequest(RequestId id, TimePoint now);
     std::vector<QueuedRequest> extractRequests(const std::vector<RequestId>& ids, TimePoint now);
-    std::vector<RequestId> findOrphans(const std::map<std::string, const TeamPolicy*>& policiesByName) const;
+    std::vector<RequestId> findRequestsWithoutPolicy(const std::map<std::string, const TeamPolicy*>& policiesByName) const;
 };
 
 static std::size_t queueFootprint(const QueuedRequest& request)
@@ -107,7 +107,7 @@
     requestClass.byDeadline.erase({ request.deadline, id });
     requestClass.heldBytes -= queueFootprint(request);
     setHeldBytes(request.team, team, team.heldBytes - queueFootprint(request));
-    --team.queued;
+    --team.queuedCount;
     bytes -= request.bytes;
 
     QueuedRequest extracted = std::move(request);
@@ -124,7 +124,7 @@
     return extracted;
 }
 
-std::vector<RequestId> FairQueue::State::findOrphans(const std::map<std::string, const TeamPolicy*>& policiesByName) const
+std::vector<RequestId> FairQueue::State::findRequestsWithoutPolicy(const std::map<std::string, const TeamPolicy*>& policiesByName) const
 {
     std::vector<RequestId> ids;
     for (const auto& [id, request] : requests) {
@@ -153,7 +153,7 @@
         assert(policy.weight > 0 && "a team's weight must be above zero");
         policiesByName.emplace(policy.name, &policy);
     }
-    std::vector<QueuedRequest> orphaned = state.extractRequests(state.findOrphans(policiesByName), now);
+    std::vector<QueuedRequest> removed = state.extractRequests(state.findRequestsWithoutPolicy(policiesByName), now);
 
     for (auto entry = state.teams.begin(); entry != state.teams.end();) {
         if (policiesByName.count(entry->first)) {
@@ -166,7 +166,7 @@
     }
     for (const auto& [name, policy] : policiesByName)
         setTeam(*policy, now);
-    return orphaned;
+    return removed;
 }
 
 void FairQueue::setTeam(const TeamPolicy& policy, TimePoint now)
@@ -212,7 +212,7 @@
     requestClass.byDeadline.insert({ queued.deadline, id });
     requestClass.heldBytes += queueFootprint(queued);
     state.setHeldBytes(queued.team, team, team.heldBytes + queueFootprint(queued));
-    ++team.queued;
+    ++team.queuedCount;
     state.bytes += queued.bytes;
     // A pool knows only the teams that have used it.
     PoolQueue& pool = state.findOrCreatePool(queued.poolName());
@@ -257,41 +257,41 @@
 
 std::vector<QueuedRequest> FairQueue::expire(TimePoint now)
 {
-    std::vector<RequestId> late;
+    std::vector<RequestId> expired;
     for (const auto& [latestStart, id] : m_state->byLatestStart) {
         if (latestStart >= now)
             break;
-        late.push_back(id);
+        expired.push_back(id);
     }
-    return m_state->extractRequests(late, now);
+    return m_state->extractRequests(expired, now);
 }
 
-std::optional<QueuedRequest> FairQueue::evictFor(const QueuedRequest& newcomer, TimePoint now)
+std::optional<QueuedRequest> FairQueue::evictFor(const QueuedRequest& newRequest, TimePoint now)
 {
     State& state = *m_state;
-    auto newcomerTeam = state.teams.find(newcomer.team);
-    if (newcomerTeam == state.teams.end() || state.teamsByBytesPerWeight.empty())
+    auto newRequestTeam = state.teams.find(newRequest.team);
+    if (newRequestTeam == state.teams.end() || state.teamsByBytesPerWeight.empty())
         return std::nullopt;
-    double newcomerRatio = bytesPerWeight(newcomerTeam->second.heldBytes + queueFootprint(newcomer), newcomerTeam->second.policy.weight);
-    bool evictsOwnTeam = newcomerRatio >= state.teamsByBytesPerWeight.rbegin()->first;
-    TeamBacklog& victim = evictsOwnTeam ? newcomerTeam->second : state.teams.at(state.teamsByBytesPerWeight.rbegin()->second);
+    double newRequestRatio = bytesPerWeight(newRequestTeam->second.heldBytes + queueFootprint(newRequest), newRequestTeam->second.policy.weight);
+    bool evictsOwnTeam = newRequestRatio >= state.teamsByBytesPerWeight.rbegin()->first;
+    TeamBacklog& victim = evictsOwnTeam ? newRequestTeam->second : state.teams.at(state.teamsByBytesPerWeight.rbegin()->second);
 
     const ClassBacklog* largest = nullptr;
     double maxRatio = 0;
-    bool largestIsNewcomerClass = false;
+    bool largestIsNewRequestClass = false;
     for (const auto& [name, entry] : victim.classes) {
-        bool isNewcomerClass = evictsOwnTeam && name == newcomer.requestClass;
-        double ratio = bytesPerWeight(entry.heldBytes + (isNewcomerClass ? queueFootprint(newcomer) : 0), entry.weight);
+        bool isNewRequestClass = evictsOwnTeam && name == newRequest.requestClass;
+        double ratio = bytesPerWeight(entry.heldBytes + (isNewRequestClass ? queueFootprint(newRequest) : 0), entry.weight);
         if (ratio <= maxRatio)
             continue;
         maxRatio = ratio;
         largest = &entry;
-        largestIsNewcomerClass = isNewcomerClass;
+        largestIsNewRequestClass = isNewRequestClass;
     }
     if (!largest || largest->byDeadline.empty())
         return std::nullopt;
     auto [deadline, id] = *largest->byDeadline.rbegin();
-    if (largestIsNewcomerClass && newcomer.deadline >= deadline)
+    if (largestIsNewRequestClass && newRequest.deadline >= deadline)
         return std::nullopt;
     return state.extractRequest(id, now);
 }
@@ -367,7 +367,7 @@
 std::size_t FairQueue::teamSize(const std::string& team) const
 {
     auto found = m_state->teams.find(team);
-    return found == m_state->teams.end() ? 0 : found->second.queued;
+    return found == m_state->teams.end() ? 0 : found->second.queuedCount;
 }
 
 std::size_t FairQueue::waiting(const std::string& pool, WorkKind kind) const
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -54,10 +54,10 @@
     /// Virtual time of the classes: the highest class counter at a pick.
     double classVirtualTime { 0 };
     /// Tokens charged, which a refund can decrease.
-    double served { 0 };
+    double servedTokens { 0 };
     /// Maximum of the tokens charged so far, reported to the other daemons.
-    double maxServed { 0 };
-    WeightShift shift;
+    double maxServedTokens { 0 };
+    WeightShift weightShift;
     /// Smoothed rate of maxServedTokens, as the other daemons compute it from the reports.
     DecayingRate rate;
     DrainRate drainRate;
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -28,8 +28,8 @@
 
 PoolQueue::TeamEntry* PoolQueue::find(const std::string& team) const
 {
-    auto found = m_byName.find(team);
-    return found == m_byName.end() ? nullptr : found->second;
+    auto found = m_teamsByName.find(team);
+    return found == m_teamsByName.end() ? nullptr : found->second;
 }
 
 void PoolQueue::setTeam(const TeamPolicy& policy, bool paused, TimePoint now)
@@ -43,10 +43,10 @@
         team->weight = policy.weight;
         team->effectiveWeight = policy.weight;
         team->counter = m_virtualTime;
-        team->served = m_removedServed[policy.name];
-        team->maxServed = team->served;
+        team->servedTokens = m_removedServed[policy.name];
+        team->maxServedTokens = team->servedTokens;
         m_removedServed.erase(policy.name);
-        m_byName.emplace(team->name, team);
+        m_teamsByName.emplace(team->name, team);
     }
     team->weight = policy.weight;
     updateEffectiveWeight(*team, now);
@@ -69,9 +69,9 @@
     if (!team)
         return;
     assert(!team->queuedCount && "a team with queued requests can't be removed");
-    if (team->maxServed >= 1)
-        m_removedServed[name] = team->maxServed;
-    m_byName.erase(name);
+    if (team->maxServedTokens >= 1)
+        m_removedServed[name] = team->maxServedTokens;
+    m_teamsByName.erase(name);
     m_regionalShares.forgetTeam(name);
     // The last team takes the freed index, which is part of its key in the groups'
     // teamsByCounter sets.
@@ -100,7 +100,7 @@
 {
     if (team.paused)
         return;
-    for (auto& [group, queued] : team.requestsByGroup)
+    for (auto& [group, requestCount] : team.requestsByGroup)
         group->teamsByCounter.erase({ team.counter, team.index });
 }
 
@@ -108,7 +108,7 @@
 {
     if (team.paused)
         return;
-    for (auto& [group, queued] : team.requestsByGroup)
+    for (auto& [group, requestCount] : team.requestsByGroup)
         group->teamsByCounter.insert({ team.counter, team.index });
 }
 
@@ -116,7 +116,7 @@
 {
     if (counter == team.counter)
         return;
-    for (auto& [group, queued] : team.requestsByGroup) {
+    for (auto& [group, requestCount] : team.requestsByGroup) {
         if (team.paused)
             break;
         // The set node is reused to avoid an allocation, since a refresh moves every
@@ -267,9 +267,9 @@
 
     // Refunds of earlier charges are offset against later charges, so that the counter
     // reported to the other daemons never decreases.
-    team.served += tokens;
-    double increase = std::max(0.0, team.served - team.maxServed);
-    team.maxServed += increase;
+    team.servedTokens += tokens;
+    double increase = std::max(0.0, team.servedTokens - team.maxServedTokens);
+    team.maxServedTokens += increase;
     team.rate.add(increase, now);
     m_localServedRate.add(increase, now);
 }
@@ -277,7 +277,7 @@
 double PoolQueue::weightFactor(const std::string& name, TimePoint now) const
 {
     const TeamEntry* team = find(name);
-    return team ? team->shift.weightFactor(regionalStanding(*team, now)) : 1;
+    return team ? team->weightShift.weightFactor(regionalStanding(*team, now)) : 1;
 }
 
 RegionalStanding PoolQueue::regionalStanding(const TeamEntry& team, TimePoint now) const
@@ -316,7 +316,7 @@
             team->boundClassCounters(rebaseThreshold);
         if (!team->queuedCount)
             continue;
-        team->shift.adapt(regionalStanding(*team, now), now);
+        team->weightShift.adapt(regionalStanding(*team, now), now);
         updateEffectiveWeight(*team, now);
         team->boundClassCounters(credit * team->rate.rate(now));
         setCounter(*team, std::max(team->counter, floor));
@@ -329,8 +329,8 @@
     m_virtualTimeHistory.emplace_back(now, m_virtualTime);
     while (m_virtualTimeHistory.size() > 1 && m_virtualTimeHistory[1].first <= now - m_policy.creditWindow)
         m_virtualTimeHistory.pop_front();
-    bool covered = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
-    return covered ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
+    bool coversCreditWindow = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
+    return coversCreditWindow ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
 }
 
 void PoolQueue::rebaseCounters()
@@ -348,8 +348,8 @@
 void PoolQueue::appendCounters(const std::string& pool, std::vector<ServiceCounter>& counters) const
 {
     for (const auto& team : m_teams) {
-        if (team->maxServed >= 1)
-            counters.push_back({ team->name, pool, static_cast<std::uint64_t>(team->maxServed) });
+        if (team->maxServedTokens >= 1)
+            counters.push_back({ team->name, pool, static_cast<std::uint64_t>(team->maxServedTokens) });
     }
 }
 
@@ -373,8 +373,8 @@
     const TeamEntry* team = find(request.team);
     if (!team || !team->queuedCount)
         return Duration::zero();
-    auto own = team->classes.find(request.requestClass);
-    if (own == team->classes.end())
+    auto ownClass = team->classes.find(request.requestClass);
+    if (ownClass == team->classes.end())
         return std::nullopt;
     std::optional<double> rate = teamRate(request.team, now);
     if (!rate)
@@ -382,16 +382,16 @@
 
     // The class gets at least its share of the team's rate, and its wait is at most
     // the time to serve the requests ahead and all requests of the other classes.
-    double ahead = own->second.costAhead(request.deadline);
-    double weights = own->second.weight;
-    double others = 0;
+    double aheadCost = ownClass->second.costAhead(request.deadline);
+    double classWeights = ownClass->second.weight;
+    double otherClassesCost = 0;
     for (const auto& [name, entry] : team->classes) {
-        if (&entry == &own->second || !entry.queuedCount)
+        if (&entry == &ownClass->second || !entry.queuedCount)
             continue;
-        weights += entry.weight;
-        others += entry.cost();
+        classWeights += entry.weight;
+        otherClassesCost += entry.cost();
     }
-    double tokens = std::min(ahead * weights / own->second.weight, ahead + others);
+    double tokens = std::min(aheadCost * classWeights / ownClass->second.weight, aheadCost + otherClassesCost);
     double seconds = *rate > 0 ? tokens / *rate : maxPredictedWaitSeconds;
     return std::chrono::ceil<Duration>(Seconds(std::min(seconds, maxPredictedWaitSeconds)));
 }
--- a/unittests/Admission/RegionFake.cpp
+++ b/unittests/Admission/RegionFake.cpp
@@ -87,7 +87,7 @@
 
 double RegionFake::served(const std::string& team, const std::string& daemon) const
 {
-    const auto& served = m_daemons.at(daemon).served;
+    const auto& served = m_daemons.at(daemon).servedByTeam;
     auto found = served.find(team);
     return found == served.end() ? 0 : found->second;
 }
@@ -95,7 +95,7 @@
 void RegionFake::resetServed()
 {
     for (auto& [name, daemon] : m_daemons)
-        daemon.served.clear();
+        daemon.servedByTeam.clear();
 }
 
 void RegionFake::fillBacklog(Daemon& daemon)
@@ -118,7 +118,7 @@
             return;
         fillBacklog(daemon);
         ++daemon.busySlots;
-        daemon.served[next->team] += next->cost;
+        daemon.servedByTeam[next->team] += next->cost;
         double slotRate = daemon.spec.tokensPerSecond / static_cast<double>(daemon.spec.slots);
         auto service = std::chrono::ceil<Duration>(std::chrono::duration<double>(next->cost / slotRate));
         m_scheduler.callAfter(service, [this, &daemon] {
--- a/unittests/Admission/RegionFake.h
+++ b/unittests/Admission/RegionFake.h
@@ -53,7 +53,7 @@
         std::uint64_t incarnation { 1 };
         std::size_t busySlots { 0 };
         std::set<std::string> backloggedTeams;
-        std::map<std::string, double> served;
+        std::map<std::string, double> servedByTeam;
     };
 
     void fillBacklog(Daemon& daemon);
--- a/unittests/Admission/RegionalSharesTest.cpp
+++ b/unittests/Admission/RegionalSharesTest.cpp
@@ -9,15 +9,15 @@
 using namespace std::chrono_literals;
 
 /// Team, the daemons where it is backlogged, and its fair share of the region.
-struct Expected {
+struct ExpectedShare {
     std::string team;
     std::vector<std::string> daemons;
     double share;
 };
 
-static void startBacklogs(RegionFake& region, const std::vector<Expected>& expected)
+static void startBacklogs(RegionFake& region, const std::vector<ExpectedShare>& expected)
 {
-    for (const Expected& entry : expected) {
+    for (const ExpectedShare& entry : expected) {
         for (const std::string& daemon : entry.daemons)
             region.setBacklogged(entry.team, daemon, true);
     }
@@ -25,17 +25,17 @@
 
 /// Runs for \p span and returns the largest shortfall of a team, as a
 /// fraction of its share.
-static double worstShortfall(RegionFake& region, const std::vector<Expected>& expected, Duration span)
+static double maxShortfall(RegionFake& region, const std::vector<ExpectedShare>& expected, Duration span)
 {
     region.resetServed();
     region.run(span);
     double total = 0;
-    for (const Expected& entry : expected)
+    for (const ExpectedShare& entry : expected)
         total += region.served(entry.team);
-    double worst = 0;
-    for (const Expected& entry : expected)
-        worst = std::max(worst, 1 - region.served(entry.team) / total / entry.share);
-    return worst;
+    double maximum = 0;
+    for (const ExpectedShare& entry : expected)
+        maximum = std::max(maximum, 1 - region.served(entry.team) / total / entry.share);
+    return maximum;
 }
 
 static std::vector<DaemonSpec> daemonsNamed(const std::vector<std::string>& names)
@@ -52,10 +52,10 @@
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
         RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, seed);
-        std::vector<Expected> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
+        std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
         startBacklogs(region, expected);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
@@ -65,25 +65,25 @@
         INFO("seed " << seed);
         RegionFake region({ { "x", 20, 20000 }, { "y", 2, 2000 } }, { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, seed);
         // The share of c is limited by the capacity of the small daemon.
-        std::vector<Expected> expected { { "a", { "x", "y" }, 5.0 / 11 }, { "b", { "x" }, 5.0 / 11 }, { "c", { "y" }, 1.0 / 11 } };
+        std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 5.0 / 11 }, { "b", { "x" }, 5.0 / 11 }, { "c", { "y" }, 1.0 / 11 } };
         startBacklogs(region, expected);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
 TEST_CASE("teams get their shares from many daemons with slow heartbeats")
 {
-    std::vector<std::string> all { "d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8" };
+    std::vector<std::string> allDaemons { "d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8" };
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
-        RegionFake region(daemonsNamed(all), { teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) }, seed);
+        RegionFake region(daemonsNamed(allDaemons), { teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) }, seed);
         region.heartbeatInterval = 1s;
         region.heartbeatDelay = 1s;
-        std::vector<Expected> expected { { "a", all, 0.1 }, { "b", all, 0.2 }, { "c", all, 0.7 } };
+        std::vector<ExpectedShare> expected { { "a", allDaemons, 0.1 }, { "b", allDaemons, 0.2 }, { "c", allDaemons, 0.7 } };
         startBacklogs(region, expected);
         for (int window = 0; window < 4; ++window)
-            CHECK(worstShortfall(region, expected, 30s) < 0.05);
+            CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
@@ -92,24 +92,24 @@
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
         RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, seed);
-        std::vector<Expected> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
+        std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
         startBacklogs(region, expected);
-        CHECK(worstShortfall(region, expected, 30s) < 0.1);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.1);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
 TEST_CASE("teams with the same backlog at all daemons get the same rate from each daemon")
 {
-    std::vector<std::string> all { "x", "y", "z" };
-    RegionFake region(daemonsNamed(all), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 6);
-    startBacklogs(region, { { "a", all, 1.0 / 3 }, { "b", all, 1.0 / 3 }, { "c", all, 1.0 / 3 } });
+    std::vector<std::string> allDaemons { "x", "y", "z" };
+    RegionFake region(daemonsNamed(allDaemons), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 6);
+    startBacklogs(region, { { "a", allDaemons, 1.0 / 3 }, { "b", allDaemons, 1.0 / 3 }, { "c", allDaemons, 1.0 / 3 } });
     region.run(30min);
     region.resetServed();
     region.run(60s);
     for (const char* team : { "a", "b", "c" }) {
-        for (const std::string& daemon : all)
+        for (const std::string& daemon : allDaemons)
             CHECK(region.served(team, daemon) == Approx(60 * 8000 / 3.0).epsilon(0.2));
     }
 }
@@ -117,7 +117,7 @@
 TEST_CASE("teams keep their shares after the heartbeats were blocked for an hour")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, 7);
-    std::vector<Expected> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
+    std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
     startBacklogs(region, expected);
     region.run(30s);
     region.setPartitioned("x", "y", true);
@@ -155,11 +155,11 @@
 TEST_CASE("teams keep their shares after a daemon restarts")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 9);
-    std::vector<Expected> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
+    std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
     startBacklogs(region, expected);
     region.run(30s);
     region.restart("y");
-    CHECK(worstShortfall(region, expected, 30s) < 0.05);
+    CHECK(maxShortfall(region, expected, 30s) < 0.05);
 }
 
 TEST_CASE("counters that decrease, repeat or belong to an older incarnation are ignored")
@@ -167,13 +167,13 @@
     SharePolicy policy;
     RegionalShares shares(policy);
     TimePoint now {};
-    LocalServiceRates local { 1000, 1000, 2000 };
+    LocalServiceRates localRates { 1000, 1000, 2000 };
     auto receive = [&](std::uint64_t incarnation, std::uint64_t tokens) {
         shares.apply({ "peer", incarnation }, { "a", "m", tokens }, now);
     };
     auto remoteRate = [&] {
-        RegionalStanding standing = shares.standing("a", local, now);
-        return standing.isShared ? local.fairRate * std::exp(-standing.logDeficit) - local.teamRate : 0;
+        RegionalStanding standing = shares.standing("a", localRates, now);
+        return standing.isShared ? localRates.fairRate * std::exp(-standing.logDeficit) - localRates.teamRate : 0;
     };
     receive(2, 1000000);
     // The first counter only sets the baseline.
--- a/unittests/Admission/RetryWindowTest.cpp
+++ b/unittests/Admission/RetryWindowTest.cpp
@@ -9,35 +9,35 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static int makeAllRetries(RetryWindow& budget, TimePoint now)
+static int makeAllRetries(RetryWindow& retryWindow, TimePoint now)
 {
     int retries = 0;
-    while (budget.tryRetry(now))
+    while (retryWindow.tryRetry(now))
         ++retries;
     return retries;
 }
 
 TEST_CASE("half of the retries allowed for the last window are available at once, and the rest as requests arrive")
 {
-    RetryWindow budget;
-    budget.setAllowance({ 0.2, 4, 10s });
+    RetryWindow retryWindow;
+    retryWindow.setAllowance({ 0.2, 4, 10s });
     TimePoint now { 100s };
     for (int i = 0; i < 500; ++i) {
         now += 20ms;
-        budget.noteRequest(now);
+        retryWindow.noteRequest(now);
     }
-    int retries = makeAllRetries(budget, now);
+    int retries = makeAllRetries(retryWindow, now);
     CHECK(retries >= 50);
-    RetryWindow withoutRequests = budget;
+    RetryWindow withoutRequests = retryWindow;
     CHECK(retries + makeAllRetries(withoutRequests, now + 5s) <= 54);
     for (int i = 0; i < 500; ++i) {
         now += 20ms;
-        budget.noteRequest(now);
-        retries += budget.tryRetry(now) ? 1 : 0;
+        retryWindow.noteRequest(now);
+        retries += retryWindow.tryRetry(now) ? 1 : 0;
     }
     CHECK(retries > 90);
     CHECK(retries <= 104);
-    CHECK(budget.hasRetry(now + 11s));
+    CHECK(retryWindow.hasRetry(now + 11s));
 }
 
 // Guards against entries with so small a share of the requests that they never get a
@@ -47,19 +47,19 @@
     constexpr int entries = 295;
     constexpr double requestsPerSecond = 2;
     Random random(5);
-    std::vector<RetryWindow> budgets;
+    std::vector<RetryWindow> retryWindows;
     std::vector<int> retries(entries, 0);
     for (int i = 0; i < entries; ++i) {
-        budgets.emplace_back(random.unit());
-        budgets.back().setAllowance({ 0.2, 0, 10s });
+        retryWindows.emplace_back(random.unit());
+        retryWindows.back().setAllowance({ 0.2, 0, 10s });
     }
     TimePoint start { 100s };
     Duration span = 120s;
     for (TimePoint now = start; now < start + span; now += 100ms) {
         for (int i = 0; i < entries; ++i) {
             if (random.unit() < requestsPerSecond / 10)
-                budgets[static_cast<std::size_t>(i)].noteRequest(now);
-            retries[static_cast<std::size_t>(i)] += makeAllRetries(budgets[static_cast<std::size_t>(i)], now);
+                retryWindows[static_cast<std::size_t>(i)].noteRequest(now);
+            retries[static_cast<std::size_t>(i)] += makeAllRetries(retryWindows[static_cast<std::size_t>(i)], now);
         }
     }
     double earned = 0.2 * requestsPerSecond * entries * 120;
@@ -71,43 +71,43 @@
 
 TEST_CASE("a further retry of a request is allowed only while at least half of the allowance is left")
 {
-    RetryWindow budget;
-    budget.setAllowance({ 0.2, 10, 10s });
+    RetryWindow retryWindow;
+    retryWindow.setAllowance({ 0.2, 10, 10s });
     TimePoint now { 100s };
     int further = 0;
-    while (budget.tryRetry(now, RetryOrder::Further))
+    while (retryWindow.tryRetry(now, RetryOrder::Further))
         ++further;
     CHECK(further == 5);
-    CHECK(makeAllRetries(budget, now) == 5);
+    CHECK(makeAllRetries(retryWindow, now) == 5);
 }
 
 TEST_CASE("without requests only the slack is available for retries")
 {
-    RetryWindow budget;
-    budget.setAllowance({ 0.2, 2, 10s });
+    RetryWindow retryWindow;
+    retryWindow.setAllowance({ 0.2, 2, 10s });
     TimePoint now { 100s };
-    CHECK(budget.tryRetry(now));
-    CHECK(budget.tryRetry(now));
-    CHECK_FALSE(budget.tryRetry(now));
-    CHECK_FALSE(budget.tryRetry(now + 9s));
+    CHECK(retryWindow.tryRetry(now));
+    CHECK(retryWindow.tryRetry(now));
+    CHECK_FALSE(retryWindow.tryRetry(now));
+    CHECK_FALSE(retryWindow.tryRetry(now + 9s));
 }
 
 // The load alternates between peaks and low traffic, and every allowed retry is made.
 TEST_CASE("the retries of a window stay within the allowance for the requests of that window, the previous one or the one half a window earlier")
 {
     Random random(11);
-    RetryWindow budget;
-    budget.setAllowance({ 0.2, 4, 10s });
+    RetryWindow retryWindow;
+    retryWindow.setAllowance({ 0.2, 4, 10s });
     std::vector<TimePoint> requests;
     std::vector<TimePoint> retries;
     TimePoint start { 100s };
     for (TimePoint now = start; now < start + 60s; now += 7ms) {
         bool isPeak = (now - start) % 15s < 4s;
         if (random.unit() < (isPeak ? 0.9 : 0.05)) {
-            budget.noteRequest(now);
+            retryWindow.noteRequest(now);
             requests.push_back(now);
         }
-        if (budget.tryRetry(now))
+        if (retryWindow.tryRetry(now))
             retries.push_back(now);
     }
     auto within = [](const std::vector<TimePoint>& times, TimePoint from, TimePoint to) {
--- a/unittests/Admission/SlotsTest.cpp
+++ b/unittests/Admission/SlotsTest.cpp
@@ -69,7 +69,7 @@
     std::map<std::string, TimePoint> updatedAt;
     std::map<std::string, SlotCredit> credits;
 
-    std::size_t used(std::size_t total, TimePoint now)
+    std::size_t usedSlots(std::size_t total, TimePoint now)
     {
         std::size_t sum = 0;
         for (const auto& [entry, from] : updatedAt)
@@ -91,9 +91,9 @@
             views.updatedAt[entry] = start + 10s + std::chrono::milliseconds(random.below(2000));
         }
         for (Duration at = 0s; at < 20s; at += 100ms)
-            REQUIRE(views.used(32, start + at) <= 32);
+            REQUIRE(views.usedSlots(32, start + at) <= 32);
         // After the grow delay all slots are in use again.
-        CHECK(views.used(32, start + 20s) == 32);
+        CHECK(views.usedSlots(32, start + 20s) == 32);
     }
 }
 
@@ -104,11 +104,11 @@
     views.before = { { "a", 40 }, { "b", 40 }, { "dead", 40 } };
     views.after = { { "a", 40 }, { "b", 40 } };
     views.updatedAt = { { "a", start + 3s }, { "b", start + 4s } };
-    CHECK(views.used(30, start) == 20);
-    CHECK(views.used(30, start + 4s) == 20);
+    CHECK(views.usedSlots(30, start) == 20);
+    CHECK(views.usedSlots(30, start + 4s) == 20);
     // Requests of the dead entry may still run, so its slots are not given out at once.
-    CHECK(views.used(30, start + 4900ms) == 20);
-    CHECK(views.used(30, start + 6s) == 30);
+    CHECK(views.usedSlots(30, start + 4900ms) == 20);
+    CHECK(views.usedSlots(30, start + 6s) == 30);
 }
 
 TEST_CASE("long work can't use the reserved slots, short work can use all slots")
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -67,7 +67,7 @@
     int inTime { 0 };
     int servedOnRetry { 0 };
     int refusedTwice { 0 };
-    int late { 0 };
+    int lateFirstAttempts { 0 };
 };
 
 } // namespace
@@ -88,7 +88,7 @@
     std::deque<Retry> retries;
     TimePoint start { 100s };
     TimePoint busyUntil = start;
-    auto arrive = [&](TimePoint now, TimePoint firstAttemptAt) {
+    auto receive = [&](TimePoint now, TimePoint firstAttemptAt) {
         WaitDemand demand = firstAttempt();
         demand.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(5s - (now - firstAttemptAt));
         Duration wait = std::max<Duration>(busyUntil - now, 0ms);
@@ -103,7 +103,7 @@
         busyUntil = std::max(busyUntil, now) + 10ms;
         bool missesTarget = now + wait + 100ms - firstAttemptAt > 600ms;
         result.inTime += !missesTarget;
-        result.late += missesTarget && !isRetry;
+        result.lateFirstAttempts += missesTarget && !isRetry;
         result.servedOnRetry += missesTarget && isRetry;
     };
     for (TimePoint now = start; now < start + 10s; now += 1ms) {
@@ -111,11 +111,11 @@
         while (!retries.empty() && retries.front().at <= now) {
             TimePoint firstAttemptAt = retries.front().firstAttemptAt;
             retries.pop_front();
-            arrive(now, firstAttemptAt);
+            receive(now, firstAttemptAt);
         }
-        double perMillisecond = now < start + overload ? 0.2 : 0.05;
-        if (random.unit() < perMillisecond)
-            arrive(now, now);
+        double arrivalsPerMillisecond = now < start + overload ? 0.2 : 0.05;
+        if (random.unit() < arrivalsPerMillisecond)
+            receive(now, now);
     }
     return result;
 }
@@ -128,8 +128,8 @@
 {
     OverloadResult result = simulateOverload(3s, true);
     OverloadResult unlimited = simulateOverload(3s, false);
-    CHECK(result.late == 0);
-    CHECK(unlimited.late > 300);
+    CHECK(result.lateFirstAttempts == 0);
+    CHECK(unlimited.lateFirstAttempts > 300);
     CHECK(result.inTime > unlimited.inTime + 200);
 }
 
@@ -137,7 +137,7 @@
 {
     OverloadResult result = simulateOverload(1'200ms, true);
     CAPTURE(result.inTime, result.servedOnRetry, result.refusedTwice);
-    CHECK(result.late == 0);
+    CHECK(result.lateFirstAttempts == 0);
     CHECK(result.servedOnRetry > 2 * result.refusedTwice);
 }
 
@@ -146,5 +146,5 @@
     OverloadResult result = simulateOverload(9s, true);
     // The endpoint can serve a hundred requests per second.
     CHECK(result.inTime > 650);
-    CHECK(result.late == 0);
+    CHECK(result.lateFirstAttempts == 0);
 }
