--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -42,10 +42,10 @@
     std::optional<QueuedRequest> remove(RequestId id, TimePoint now);
     /// Removes and returns the requests that can no longer meet their deadlines.
     std::vector<QueuedRequest> expire(TimePoint now);
-    /// Evicts and returns the request that ranks lowest: the one with the latest deadline
-    /// in the largest class of the team that holds most of the queue, all relative to
-    /// weights. Empty if \p newcomer itself would rank lowest.
-    std::optional<QueuedRequest> evictFor(const QueuedRequest& newcomer, TimePoint now);
+    /// Evicts and returns the request that ranks lowest: of the team with the most queued
+    /// bytes per weight, and of its class with the most queued bytes per weight, the
+    /// request with the latest deadline. Empty if \p newRequest itself would rank lowest.
+    std::optional<QueuedRequest> evictFor(const QueuedRequest& newRequest, TimePoint now);
     /// Stops or resumes starting a team's requests, for example at its in-flight limit.
     void setTeamPaused(const std::string& team, bool paused);
     /// Updates weights and credits; to be called about every half second.
@@ -64,8 +64,9 @@
     /// Returns the rate in tokens per second at which requests of the request's team are
     /// started in its pool; empty if not known yet.
     std::optional<double> teamRate(const QueuedRequest& request, TimePoint now) const;
-    /// Returns the fraction of the team's weight that counts in this daemon's pool.
-    double weightFraction(const std::string& team, const std::string& pool, TimePoint now) const;
+    /// Returns the factor, above 0 and at most 1.5, by which the team's configured weight
+    /// is multiplied in this daemon's pool.
+    double weightFactor(const std::string& team, const std::string& pool, TimePoint now) const;
 
     /// Returns whether a request is queued.
     bool contains(RequestId id) const;
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -24,7 +24,7 @@
     explicit PoolQueue(const SharePolicy& policy);
     ~PoolQueue();
 
-    bool hasTeam(const std::string& team) const { return m_byName.contains(team); }
+    bool hasTeam(const std::string& team) const { return m_teamsByName.contains(team); }
     /// Applies a team's weights; adds the team if it is new.
     void setTeam(const TeamPolicy& policy, bool paused, TimePoint now);
     /// Removes a team, which must have no queued requests.
@@ -36,20 +36,20 @@
     /// while it is queued.
     void add(const QueuedRequest& request, TimePoint now);
     void remove(const QueuedRequest& request, TimePoint now);
-    /// Returns the request to start and charges its cost; the caller then removes the
-    /// request.
+    /// Returns the request to start and charges its cost; null if none can start. The
+    /// request stays queued until remove() is called.
     const QueuedRequest* pick(const CanStart& canStart, TimePoint now);
     /// Adds \p tokens, which may be negative, to the service charged to a team and class.
     void adjustCharge(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
     /// Updates weights and credits.
     void refresh(TimePoint now);
 
-    RegionalShares& regional() { return m_regional; }
+    RegionalShares& regionalShares() { return m_regionalShares; }
     void appendCounters(const std::string& pool, std::vector<ServiceCounter>& counters) const;
     std::optional<Duration> predictedWait(const QueuedRequest& request, TimePoint now) const;
     /// Returns the rate in tokens per second at which a team's requests are started.
     std::optional<double> teamRate(const std::string& team, TimePoint now) const;
-    double weightFraction(const std::string& team, TimePoint now) const;
+    double weightFactor(const std::string& team, TimePoint now) const;
     std::size_t waiting(WorkKind kind) const { return kind == WorkKind::Short ? m_waitingShort : m_waitingLong; }
     bool empty() const { return m_waitingShort + m_waitingLong == 0; }
 
@@ -74,11 +74,14 @@
     double creditFloor(TimePoint now);
 
     SharePolicy m_policy;
-    RegionalShares m_regional;
+    RegionalShares m_regionalShares;
     DecayingRate m_localServedRate;
-    /// Rate of the virtual time, which is the service rate for a weight of one here.
+    /// Rate at which the virtual time advances: the tokens per second that a team of
+    /// weight one is served in this pool.
     DecayingRate m_virtualTimeRate;
     DrainRate m_drainRate;
+    /// Largest team counter at a pick since the counters were last rebased. A team with
+    /// a smaller counter has received less than its share.
     double m_virtualTime { 0 };
     /// Virtual time at the recent refreshes, covering the credit window.
     std::deque<std::pair<TimePoint, double>> m_virtualTimeHistory;
@@ -86,7 +89,7 @@
     std::size_t m_waitingShort { 0 };
     std::size_t m_waitingLong { 0 };
     std::vector<std::unique_ptr<TeamEntry>> m_teams;
-    absl::flat_hash_map<std::string, TeamEntry*> m_byName;
+    absl::flat_hash_map<std::string, TeamEntry*> m_teamsByName;
     /// Tokens served to removed teams. The counter of a team that is added again
     /// continues from there, since the other daemons treat a counter that decreased as
     /// an outdated report.
--- a/include/catkinwing/Admission/RegionalShares.h
+++ b/include/catkinwing/Admission/RegionalShares.h
@@ -10,7 +10,7 @@
 namespace catkinwing {
 
 /// Recent rates at which this daemon served a pool, in tokens per second.
-struct LocalService {
+struct LocalServiceRates {
     /// Rate served to the team in question.
     double teamRate { 0 };
     /// Rate served to all teams.
@@ -34,21 +34,22 @@
     bool isShared { false };
 };
 
-/// Fraction of a team's weight that applies in this daemon. The fraction adapts at each
-/// refresh while the team is backlogged here, and the adaptation decays while it isn't.
+/// Adapts the factor by which a team's weight is multiplied in this daemon. The shift of
+/// the factor is updated at each refresh while the team is backlogged here, and decays
+/// while the team isn't backlogged.
 class WeightShift {
 public:
     /// Updates the shift from the standing of a backlogged team.
     void adapt(const RegionalStanding& standing, TimePoint now);
-    /// Returns the fraction of the weight that applies, above 0 and at most 1.5.
-    double fraction(const RegionalStanding& standing) const;
+    /// Returns the factor for the weight, above 0 and at most 1.5.
+    double weightFactor(const RegionalStanding& standing) const;
 
 private:
     double m_shift { 0 };
     TimePoint m_adaptedAt {};
 };
 
-/// Service from one pool by the other daemons of the region.
+/// Tracks the service that the other daemons of the region give from one pool.
 class RegionalShares {
 public:
     explicit RegionalShares(const SharePolicy& policy = {});
@@ -64,7 +65,7 @@
     /// decayed.
     void prune(TimePoint now);
     /// Returns the standing of a team, given the rates of this daemon.
-    RegionalStanding standing(const std::string& team, const LocalService& local, TimePoint now) const;
+    RegionalStanding standing(const std::string& team, const LocalServiceRates& local, TimePoint now) const;
 
 private:
     struct Source {
@@ -75,7 +76,7 @@
     struct Counter {
         std::uint64_t incarnation { 0 };
         std::uint64_t tokens { 0 };
-        TimePoint at {};
+        TimePoint reportedAt {};
         /// Time of the last increase of the count.
         TimePoint servedAt {};
         DecayingRate rate;
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -10,7 +10,7 @@
     RequestGroupKey key;
     /// Counter and index of each team with requests in the group that isn't paused.
     std::set<std::pair<double, std::size_t>> teamsByCounter;
-    std::size_t queued { 0 };
+    std::size_t queuedCount { 0 };
     /// Result of the start predicate in the current pick.
     bool canStart { false };
 };
@@ -18,8 +18,9 @@
 /// The waiting requests of one class of a team, by request group.
 struct PoolQueue::ClassEntry {
     double weight { 1 };
+    /// Virtual service of the class: tokens charged per weight.
     double counter { 0 };
-    std::size_t queued { 0 };
+    std::size_t queuedCount { 0 };
     std::map<RequestGroup*, DeadlineQueue> queuesByGroup;
 
     double cost() const;
@@ -40,11 +41,12 @@
     std::size_t index { 0 };
     std::string name;
     double weight { 1 };
-    /// The configured weight times the fraction of it that counts in this daemon.
+    /// The configured weight times the factor that applies in this daemon.
     double effectiveWeight { 1 };
+    /// Virtual service of the team: tokens charged per effective weight.
     double counter { 0 };
     bool paused { false };
-    std::size_t queued { 0 };
+    std::size_t queuedCount { 0 };
     /// Number of requests in each group. Unless the team is paused, it is in the
     /// teamsByCounter set of each of these groups.
     std::map<RequestGroup*, std::size_t> requestsByGroup;
@@ -52,18 +54,18 @@
     /// Virtual time of the classes: the highest class counter at a pick.
     double classVirtualTime { 0 };
     /// Tokens charged, which a refund can decrease.
-    double served { 0 };
+    double servedTokens { 0 };
     /// Maximum of the tokens charged so far, reported to the other daemons.
-    double maxServed { 0 };
-    WeightShift shift;
-    /// Smoothed rate of maxServed, as the other daemons compute it from the reports.
+    double maxServedTokens { 0 };
+    WeightShift weightShift;
+    /// Smoothed rate of maxServedTokens, as the other daemons compute it from the reports.
     DecayingRate rate;
     DrainRate drainRate;
 
     /// Returns the class with the smallest counter that has a startable request.
     ClassEntry* nextClass();
-    /// Rebases the class counters and limits how far each is behind the virtual time to
-    /// \p credit tokens per weight.
+    /// Subtracts classVirtualTime from all class counters, resets it to zero, and raises
+    /// counters below -\p credit (in tokens per weight) to that value.
     void boundClassCounters(double credit);
 };
 
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -11,14 +11,14 @@
 /// Virtual time at which all counters are rebased, long before the precision of a
 /// double becomes insufficient.
 static constexpr double rebaseThreshold = 1e12;
-/// Maximum age of a team's own drain rate for predictions.
+/// Maximum age at which a team's own drain rate is still used for predictions.
 static constexpr Duration maxRateAge = std::chrono::seconds(30);
 /// Maximum predicted wait; longer predictions are clamped to it.
 static constexpr double maxPredictedWaitSeconds = 86400;
 
 PoolQueue::PoolQueue(const SharePolicy& policy)
     : m_policy(policy)
-    , m_regional(policy)
+    , m_regionalShares(policy)
     , m_localServedRate(policy.rateSmoothing)
     , m_virtualTimeRate(policy.rateSmoothing)
 {
@@ -28,8 +28,8 @@
 
 PoolQueue::TeamEntry* PoolQueue::find(const std::string& team) const
 {
-    auto found = m_byName.find(team);
-    return found == m_byName.end() ? nullptr : found->second;
+    auto found = m_teamsByName.find(team);
+    return found == m_teamsByName.end() ? nullptr : found->second;
 }
 
 void PoolQueue::setTeam(const TeamPolicy& policy, bool paused, TimePoint now)
@@ -43,10 +43,10 @@
         team->weight = policy.weight;
         team->effectiveWeight = policy.weight;
         team->counter = m_virtualTime;
-        team->served = m_removedServed[policy.name];
-        team->maxServed = team->served;
+        team->servedTokens = m_removedServed[policy.name];
+        team->maxServedTokens = team->servedTokens;
         m_removedServed.erase(policy.name);
-        m_byName.emplace(team->name, team);
+        m_teamsByName.emplace(team->name, team);
     }
     team->weight = policy.weight;
     updateEffectiveWeight(*team, now);
@@ -68,11 +68,11 @@
     TeamEntry* team = find(name);
     if (!team)
         return;
-    assert(!team->queued && "a team with queued requests can't be removed");
-    if (team->maxServed >= 1)
-        m_removedServed[name] = team->maxServed;
-    m_byName.erase(name);
-    m_regional.forgetTeam(name);
+    assert(!team->queuedCount && "a team with queued requests can't be removed");
+    if (team->maxServedTokens >= 1)
+        m_removedServed[name] = team->maxServedTokens;
+    m_teamsByName.erase(name);
+    m_regionalShares.forgetTeam(name);
     // The last team takes the freed index, which is part of its key in the groups'
     // teamsByCounter sets.
     TeamEntry& last = *m_teams.back();
@@ -100,7 +100,7 @@
 {
     if (team.paused)
         return;
-    for (auto& [group, queued] : team.requestsByGroup)
+    for (auto& [group, requestCount] : team.requestsByGroup)
         group->teamsByCounter.erase({ team.counter, team.index });
 }
 
@@ -108,7 +108,7 @@
 {
     if (team.paused)
         return;
-    for (auto& [group, queued] : team.requestsByGroup)
+    for (auto& [group, requestCount] : team.requestsByGroup)
         group->teamsByCounter.insert({ team.counter, team.index });
 }
 
@@ -116,7 +116,7 @@
 {
     if (counter == team.counter)
         return;
-    for (auto& [group, queued] : team.requestsByGroup) {
+    for (auto& [group, requestCount] : team.requestsByGroup) {
         if (team.paused)
             break;
         // The set node is reused to avoid an allocation, since a refresh moves every
@@ -133,18 +133,18 @@
     TeamEntry& team = *find(request.team);
     auto [groupEntry, isNewGroup] = m_groups.try_emplace({ request.model, request.kind });
     RequestGroup& group = groupEntry->second;
-    if (!team.queued)
+    if (!team.queuedCount)
         beginBacklog(team, group, now);
     ClassEntry& entry = team.classes.at(request.requestClass);
     // Like an idle team, an idle class accumulates no credit against the team's other
     // classes.
-    if (!entry.queued)
+    if (!entry.queuedCount)
         entry.counter = std::max(entry.counter, team.classVirtualTime);
 
     entry.queuesByGroup[&group].add(request);
-    ++entry.queued;
-    ++team.queued;
-    ++group.queued;
+    ++entry.queuedCount;
+    ++team.queuedCount;
+    ++group.queuedCount;
     if (++team.requestsByGroup[&group] == 1 && !team.paused)
         group.teamsByCounter.insert({ team.counter, team.index });
     ++(request.kind == WorkKind::Short ? m_waitingShort : m_waitingLong);
@@ -187,16 +187,16 @@
     queue->second.remove(request);
     if (queue->second.empty())
         entry.queuesByGroup.erase(queue);
-    --entry.queued;
-    --team.queued;
+    --entry.queuedCount;
+    --team.queuedCount;
     --(request.kind == WorkKind::Short ? m_waitingShort : m_waitingLong);
     if (--team.requestsByGroup[&group] == 0) {
         group.teamsByCounter.erase({ team.counter, team.index });
         team.requestsByGroup.erase(&group);
     }
-    if (--group.queued == 0)
+    if (--group.queuedCount == 0)
         m_groups.erase(groupEntry);
-    if (!team.queued)
+    if (!team.queuedCount)
         endBacklog(team, now);
 }
 
@@ -225,7 +225,7 @@
         if (queue != entry.queuesByGroup.end())
             head = &queue->second.front();
     }
-    assert(head && "a team in a group's order must have requests in it");
+    assert(head && "a team in teamsByCounter must have requests in the group");
     return *head;
 }
 
@@ -267,33 +267,33 @@
 
     // Refunds of earlier charges are offset against later charges, so that the counter
     // reported to the other daemons never decreases.
-    team.served += tokens;
-    double increase = std::max(0.0, team.served - team.maxServed);
-    team.maxServed += increase;
+    team.servedTokens += tokens;
+    double increase = std::max(0.0, team.servedTokens - team.maxServedTokens);
+    team.maxServedTokens += increase;
     team.rate.add(increase, now);
     m_localServedRate.add(increase, now);
 }
 
-double PoolQueue::weightFraction(const std::string& name, TimePoint now) const
+double PoolQueue::weightFactor(const std::string& name, TimePoint now) const
 {
     const TeamEntry* team = find(name);
-    return team ? team->shift.fraction(regionalStanding(*team, now)) : 1;
+    return team ? team->weightShift.weightFactor(regionalStanding(*team, now)) : 1;
 }
 
 RegionalStanding PoolQueue::regionalStanding(const TeamEntry& team, TimePoint now) const
 {
-    LocalService local { team.rate.rate(now), m_localServedRate.rate(now), m_virtualTimeRate.rate(now) * team.weight };
-    return m_regional.standing(team.name, local, now);
+    LocalServiceRates local { team.rate.rate(now), m_localServedRate.rate(now), m_virtualTimeRate.rate(now) * team.weight };
+    return m_regionalShares.standing(team.name, local, now);
 }
 
 void PoolQueue::updateEffectiveWeight(TeamEntry& team, TimePoint now)
 {
-    double weight = team.weight * weightFraction(team.name, now);
+    double weight = team.weight * weightFactor(team.name, now);
     double old = team.effectiveWeight;
     if (weight == old)
         return;
     team.effectiveWeight = weight;
-    if (team.queued)
+    if (team.queuedCount)
         m_backloggedWeight += weight - old;
     // A lead of the team over the virtual time stays the same in tokens, so that a
     // charge made at a small effective weight doesn't block the team after the weight
@@ -305,7 +305,7 @@
 
 void PoolQueue::refresh(TimePoint now)
 {
-    m_regional.prune(now);
+    m_regionalShares.prune(now);
     rebaseCounters();
     double floor = creditFloor(now);
     double credit = Seconds(m_policy.creditWindow).count();
@@ -314,9 +314,9 @@
     for (const auto& team : m_teams) {
         if (team->classVirtualTime > rebaseThreshold)
             team->boundClassCounters(rebaseThreshold);
-        if (!team->queued)
+        if (!team->queuedCount)
             continue;
-        team->shift.adapt(regionalStanding(*team, now), now);
+        team->weightShift.adapt(regionalStanding(*team, now), now);
         updateEffectiveWeight(*team, now);
         team->boundClassCounters(credit * team->rate.rate(now));
         setCounter(*team, std::max(team->counter, floor));
@@ -329,8 +329,8 @@
     m_virtualTimeHistory.emplace_back(now, m_virtualTime);
     while (m_virtualTimeHistory.size() > 1 && m_virtualTimeHistory[1].first <= now - m_policy.creditWindow)
         m_virtualTimeHistory.pop_front();
-    bool covered = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
-    return covered ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
+    bool coversCreditWindow = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
+    return coversCreditWindow ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
 }
 
 void PoolQueue::rebaseCounters()
@@ -348,8 +348,8 @@
 void PoolQueue::appendCounters(const std::string& pool, std::vector<ServiceCounter>& counters) const
 {
     for (const auto& team : m_teams) {
-        if (team->maxServed >= 1)
-            counters.push_back({ team->name, pool, static_cast<std::uint64_t>(team->maxServed) });
+        if (team->maxServedTokens >= 1)
+            counters.push_back({ team->name, pool, static_cast<std::uint64_t>(team->maxServedTokens) });
     }
 }
 
@@ -364,17 +364,17 @@
     std::optional<double> poolRate = m_drainRate.rate(now);
     if (!poolRate)
         return std::nullopt;
-    double competingWeight = m_backloggedWeight + (team->queued ? 0 : team->effectiveWeight);
+    double competingWeight = m_backloggedWeight + (team->queuedCount ? 0 : team->effectiveWeight);
     return *poolRate * team->effectiveWeight / std::max(competingWeight, team->effectiveWeight);
 }
 
 std::optional<Duration> PoolQueue::predictedWait(const QueuedRequest& request, TimePoint now) const
 {
     const TeamEntry* team = find(request.team);
-    if (!team || !team->queued)
+    if (!team || !team->queuedCount)
         return Duration::zero();
-    auto own = team->classes.find(request.requestClass);
-    if (own == team->classes.end())
+    auto ownClass = team->classes.find(request.requestClass);
+    if (ownClass == team->classes.end())
         return std::nullopt;
     std::optional<double> rate = teamRate(request.team, now);
     if (!rate)
@@ -382,16 +382,16 @@
 
     // The class gets at least its share of the team's rate, and its wait is at most
     // the time to serve the requests ahead and all requests of the other classes.
-    double ahead = own->second.costAhead(request.deadline);
-    double weights = own->second.weight;
-    double others = 0;
+    double aheadCost = ownClass->second.costAhead(request.deadline);
+    double classWeights = ownClass->second.weight;
+    double otherClassesCost = 0;
     for (const auto& [name, entry] : team->classes) {
-        if (&entry == &own->second || !entry.queued)
+        if (&entry == &ownClass->second || !entry.queuedCount)
             continue;
-        weights += entry.weight;
-        others += entry.cost();
+        classWeights += entry.weight;
+        otherClassesCost += entry.cost();
     }
-    double tokens = std::min(ahead * weights / own->second.weight, ahead + others);
+    double tokens = std::min(aheadCost * classWeights / ownClass->second.weight, aheadCost + otherClassesCost);
     double seconds = *rate > 0 ? tokens / *rate : maxPredictedWaitSeconds;
     return std::chrono::ceil<Duration>(Seconds(std::min(seconds, maxPredictedWaitSeconds)));
 }
--- a/lib/Admission/RetryBudget.cpp
+++ b/lib/Admission/RetryBudget.cpp
@@ -4,9 +4,9 @@
 
 namespace catkinwing {
 
-// The budget grows with requests and not with time. A budget per unit of time would
-// let a cell with little traffic send many times its load in retries, which happens
-// just when endpoints fail.
+// The budget grows with requests and not with time. With little traffic, a
+// budget per unit of time would allow retries of many times the load, just when
+// endpoints fail.
 
 RetryBudget::RetryBudget(double ratio, double burst)
     : m_ratio(ratio)
@@ -28,8 +28,8 @@
 bool RetryBudget::tryRetry()
 {
     // The sum of ten times 0.1 is slightly less than one in binary floating point.
-    constexpr double roundingSlack = 1e-9;
-    if (m_available + roundingSlack < 1)
+    constexpr double roundingTolerance = 1e-9;
+    if (m_available + roundingTolerance < 1)
         return false;
     m_available = std::max(0.0, m_available - 1);
     return true;
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -21,7 +21,7 @@
     CHECK(longestWait(firstAttempt(), 100ms) > 300ms);
     CHECK(longestWait(firstAttempt(), 100ms) < 500ms);
     CHECK(longestWait(firstAttempt(), 400ms) < longestWait(firstAttempt(), 100ms));
-    // Requests may wait for an endpoint that can't meet the target even when idle.
+    // The max wait isn't zero for an endpoint that can't meet the target even when idle.
     CHECK(longestWait(firstAttempt(), 10s) > 50ms);
     WaitDemand withoutTarget = firstAttempt();
     withoutTarget.latencyTarget = 0ms;
@@ -67,14 +67,15 @@
     int inTime { 0 };
     int servedOnRetry { 0 };
     int refusedTwice { 0 };
-    int late { 0 };
+    int lateFirstAttempts { 0 };
 };
 
 } // namespace
 
 /// Simulates ten seconds of load on one endpoint that takes 10 ms per request. During
-/// the first \p overload the load is twice the capacity. Each refused client retries
-/// once.
+/// the first \p overload the load is twice the capacity. With
+/// \p isLimited, requests beyond the max wait are refused, and each refused client
+/// retries once.
 static OverloadResult simulateOverload(Duration overload, bool isLimited)
 {
     struct Retry {
@@ -87,7 +88,7 @@
     std::deque<Retry> retries;
     TimePoint start { 100s };
     TimePoint busyUntil = start;
-    auto arrive = [&](TimePoint now, TimePoint firstAttemptAt) {
+    auto receive = [&](TimePoint now, TimePoint firstAttemptAt) {
         WaitDemand demand = firstAttempt();
         demand.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(5s - (now - firstAttemptAt));
         Duration wait = std::max<Duration>(busyUntil - now, 0ms);
@@ -102,7 +103,7 @@
         busyUntil = std::max(busyUntil, now) + 10ms;
         bool missesTarget = now + wait + 100ms - firstAttemptAt > 600ms;
         result.inTime += !missesTarget;
-        result.late += missesTarget && !isRetry;
+        result.lateFirstAttempts += missesTarget && !isRetry;
         result.servedOnRetry += missesTarget && isRetry;
     };
     for (TimePoint now = start; now < start + 10s; now += 1ms) {
@@ -110,24 +111,25 @@
         while (!retries.empty() && retries.front().at <= now) {
             TimePoint firstAttemptAt = retries.front().firstAttemptAt;
             retries.pop_front();
-            arrive(now, firstAttemptAt);
+            receive(now, firstAttemptAt);
         }
-        double perMillisecond = now < start + overload ? 0.2 : 0.05;
-        if (random.unit() < perMillisecond)
-            arrive(now, now);
+        double arrivalsPerMillisecond = now < start + overload ? 0.2 : 0.05;
+        if (random.unit() < arrivalsPerMillisecond)
+            receive(now, now);
     }
     return result;
 }
 
-// The strongest bursts bring twice the capacity to a region for some seconds. A client
-// with a timeout of five seconds retries after at most 1.7 s, so clients that are
-// refused in the last 1.7 s of a burst can be served.
+// In the strongest bursts, requests arrive in a region at twice the rate that it can
+// serve, for a few seconds. A refused client retries after at most a third of its
+// timeout of 5 s (1.7 s), so only clients refused in the last 1.7 s retry after the
+// burst.
 TEST_CASE("in a burst of twice the capacity, accepted first attempts meet the latency target")
 {
     OverloadResult result = simulateOverload(3s, true);
     OverloadResult unlimited = simulateOverload(3s, false);
-    CHECK(result.late == 0);
-    CHECK(unlimited.late > 300);
+    CHECK(result.lateFirstAttempts == 0);
+    CHECK(unlimited.lateFirstAttempts > 300);
     CHECK(result.inTime > unlimited.inTime + 200);
 }
 
@@ -135,7 +137,7 @@
 {
     OverloadResult result = simulateOverload(1'200ms, true);
     CAPTURE(result.inTime, result.servedOnRetry, result.refusedTwice);
-    CHECK(result.late == 0);
+    CHECK(result.lateFirstAttempts == 0);
     CHECK(result.servedOnRetry > 2 * result.refusedTwice);
 }
 
@@ -144,5 +146,5 @@
     OverloadResult result = simulateOverload(9s, true);
     // The endpoint can serve a hundred requests per second.
     CHECK(result.inTime > 650);
-    CHECK(result.late == 0);
+    CHECK(result.lateFirstAttempts == 0);
 }
