--- a/include/catkinwing/Membership/CrashingRequests.h
+++ b/include/catkinwing/Membership/CrashingRequests.h
@@ -81,7 +81,8 @@
     std::size_t answered() const { return m_answered.size(); }
 
 private:
-    /// A broken connection that is not yet settled.
+    /// A broken connection of which it isn't yet decided (settled) whether the endpoint
+    /// crashed.
     struct BrokenConnection {
         RequestFingerprint request;
         std::uint32_t endpoint { 0 };
@@ -133,7 +134,8 @@
     /// Requests that were answered recently.
     absl::flat_hash_map<RequestFingerprint, Answered, RequestFingerprintHash> m_answered;
     TimePoint m_answersPrunedAt {};
-    /// Times at which this entry last sent requests that may have to wait.
+    /// Time of this entry's latest attempt of each request that is sent in turns after a
+    /// crash; see nextTurn().
     absl::flat_hash_map<RequestFingerprint, TimePoint, RequestFingerprintHash> m_tried;
     /// The refused request that crashed each endpoint.
     absl::flat_hash_map<std::uint32_t, RequestFingerprint> m_causes;
--- a/include/catkinwing/Membership/Membership.h
+++ b/include/catkinwing/Membership/Membership.h
@@ -19,8 +19,8 @@
     std::function<void()> onViewChanged;
     /// The state of a member of the zone changed; meant for logs.
     std::function<void(const EntryRef&, MemberState)> onMemberState;
-    /// A peer has a different configuration in force; the callback may pull from the
-    /// peer or push to it.
+    /// A peer has a different configuration in force; the callback may fetch the
+    /// peer's configuration or send its own.
     std::function<void(const ConfigPeer&)> onConfigDiffers;
     /// A peer announced that an endpoint is leaving; reported once for each run of
     /// the endpoint.
@@ -74,8 +74,8 @@
     /// Detects and reports a pause of the process. The timer, the message handlers
     /// and view() call it; callers must also call it before acting on a lease.
     void checkFrozen();
-    /// Returns the current view. The reference stays valid, but the next call may
-    /// change the view.
+    /// Returns the current view. The reference stays valid, but any later call on this
+    /// object may change the view.
     const MembershipView& view();
     /// Returns the identity of this entry. Its incarnation is raised if a peer knows a
     /// higher one of a dead earlier run.
--- a/include/catkinwing/Membership/MembershipOptions.h
+++ b/include/catkinwing/Membership/MembershipOptions.h
@@ -9,14 +9,15 @@
 struct MembershipOptions {
     /// Minimum interval between two exchanges with the same member of the zone.
     Duration heartbeatInterval { std::chrono::seconds(1) };
-    /// Time added to the exchange interval for each member, so that the traffic of
-    /// an entry stays bounded in a large zone.
+    /// The exchange interval is at least this time multiplied by the number of other
+    /// members, so that the traffic of an entry stays bounded in a large zone.
     Duration spacingPerMember { std::chrono::milliseconds(300) };
     /// Exchange intervals without a message after which a member is suspected.
     std::uint32_t suspectAfterIntervals { 2 };
     /// Exchange intervals without a message after which a member is considered dead.
     std::uint32_t deadAfterIntervals { 4 };
-    /// Minimum times without a message for the two states. A lost exchange costs its
+    /// Minimum times without a message after which a member is suspected or considered
+    /// dead, also if the exchange intervals are short. A lost exchange costs its
     /// timeout and the retry interval, and several must fail before a live member is
     /// considered dead.
     Duration minSuspectAfter { std::chrono::seconds(3) };
--- a/include/catkinwing/Membership/MembershipView.h
+++ b/include/catkinwing/Membership/MembershipView.h
@@ -26,7 +26,7 @@
     TimePoint heardAt {};
     /// Number of process pauses that the member reported in this run.
     std::uint32_t freezes { 0 };
-    /// Digest of the configuration that the member has in force.
+    /// Hash of the configuration that the member has in force.
     std::uint64_t configDigest { 0 };
     /// Demand of the member by endpoint group.
     std::vector<GroupDemand> demand;
@@ -48,7 +48,7 @@
     TimePoint madeAt {};
     std::vector<ZoneEntry> entries;
     std::vector<ModelRoom> models;
-    /// Digest of the configuration in force in the zone; zero if the digest came
+    /// Hash of the configuration in force in the zone; zero if the zone's digest came
     /// through another member.
     std::uint64_t configDigest { 0 };
     /// Names of the entries of this zone, possibly including this entry, that exchange
--- a/lib/Membership/CrashHistory.cpp
+++ b/lib/Membership/CrashHistory.cpp
@@ -21,7 +21,8 @@
 static constexpr unsigned maxDoublings = 5;
 /// Time after a refusal period during which a single crash starts another one.
 static constexpr std::chrono::minutes probation { 10 };
-/// Time for which an answer to a request is kept and reported.
+/// Time for which the fact that a request was answered is kept and reported to other
+/// entries.
 static constexpr std::chrono::seconds survivalRetention { 10 };
 
 /// Each transfer between entries shifts a reported time by up to some hundred
--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -196,7 +196,9 @@
 }
 
 // Turns are numbered from the crash on. A turn belongs to the entry whose rank is the
-// number of the turn modulo the number of entries.
+// number of the turn modulo the number of entries. A request is sent only in the first
+// turnStartWindow of a turn; after an attempt by this entry, not before one turnLength
+// has passed.
 TimePoint CrashingRequests::turnOf(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const
 {
     auto tried = m_tried.find(request);
--- a/lib/Membership/MemberTable.h
+++ b/lib/Membership/MemberTable.h
@@ -13,7 +13,8 @@
     EntryIdentity identity;
     MemberState state { MemberState::Live };
     bool draining { false };
-    /// True if another entry answers at the address of this member.
+    /// True if an entry of another name uses the peer address of this member. Exchanges
+    /// with the member then stop until a heartbeat of it is received.
     bool isAddressTaken { false };
 
     /// Time of the latest message received, or of the start of waiting for one.
--- a/lib/Membership/ZoneTable.h
+++ b/lib/Membership/ZoneTable.h
@@ -40,6 +40,8 @@
     std::uint32_t peerKnownRoster { 0 };
     std::uint32_t peerZonesDigest { 0 };
     std::optional<TimePoint> contactsSentAt;
+    /// Served tokens by team in the digests sent to the zone, so that the next digest
+    /// contains only changes. Cleared after a failed exchange.
     CountTable sentServed;
     /// Hash of this entry's zone's entries in the last digest sent.
     std::uint32_t sentRoster { 0 };
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -85,8 +85,8 @@
         REQUIRE(network.advanceUntil(20s, [&] { return std::all_of(nodes.begin(), nodes.end(), condition); }));
         return network.scheduler().clock().now() - killedAt;
     };
-    // The bound covers 4/3 of the interval of 2.4 s, a retry after 0.5 s, 10% jitter
-    // on both and two timer ticks.
+    // The bound covers the delay of the side that doesn't normally start exchanges (4/3 of
+    // 2.4 s), a retry after 0.5 s, 10% jitter on both and two timer ticks.
     CHECK(timeUntilAll([](FakeNode* node) { return !node->regardsAsUsable("e1"); }) <= 4500ms);
     // The bounds cover two and four intervals and a timer tick.
     CHECK(timeUntilAll([](FakeNode* node) { return stateAt(*node, "e1") >= MemberState::Suspect; }) <= 5100ms);
