--- a/include/catkinwing/Membership/CrashingRequests.h
+++ b/include/catkinwing/Membership/CrashingRequests.h
@@ -44,7 +44,7 @@
         /// request probably just ran on the endpoint that another request crashed.
         bool isOnlyOwn { true };
         /// Regions whose entries may be notified of the crash; all if empty.
-        std::vector<std::uint32_t> regions {};
+        std::vector<std::uint32_t> notifiableRegions {};
     };
     /// Returns the latest crash that the request may have caused, or none if the request
     /// needn't wait.
@@ -88,7 +88,7 @@
         std::uint32_t endpoint { 0 };
         TimePoint at {};
         Duration ranFor { 0 };
-        std::vector<std::uint32_t> regions;
+        std::vector<std::uint32_t> notifiableRegions;
         bool isEndpointUnreachable { false };
         /// True if another entry reported the connection; that entry settles it.
         bool isFromOtherEntry { false };
@@ -103,9 +103,9 @@
         BrokenConnection broken;
         bool isAnswered { false };
     };
-    struct KnownRequest {
+    struct TrackedRequest {
         CrashHistory history;
-        std::vector<std::uint32_t> regions;
+        std::vector<std::uint32_t> notifiableRegions;
         /// Number of calls of takeNews() that still return the history.
         unsigned reportsLeft { 0 };
     };
@@ -118,19 +118,19 @@
     void pruneAnswers(TimePoint now);
     void recordReportedConnection(const CrashNotice& notice, const ToldCrash& crash, TimePoint now);
     void settle(const BrokenConnection& broken, TimePoint now);
-    void recordChange(const RequestFingerprint& request, KnownRequest& known, unsigned refusalsBefore, TimePoint now);
+    void handleHistoryChange(const RequestFingerprint& request, TrackedRequest& known, unsigned refusalsBefore, TimePoint now);
     void attributeCrashes(const RequestFingerprint& request, const CrashHistory& history);
     bool hasOtherCause(const RequestFingerprint& request, std::uint32_t endpoint) const;
-    KnownRequest& findOrCreate(const RequestFingerprint& request);
+    TrackedRequest& findOrCreate(const RequestFingerprint& request);
     void evictOldest();
     Duration refusalDelay(const RequestFingerprint& request) const;
     bool wouldBeRefused(const RequestFingerprint& request, CrashHistory history) const;
-    static bool isSuspect(const KnownRequest& known);
-    static CrashNotice makeNotice(const RequestFingerprint& request, const KnownRequest& known, TimePoint now);
+    static bool isSuspect(const TrackedRequest& known);
+    static CrashNotice makeNotice(const RequestFingerprint& request, const TrackedRequest& known, TimePoint now);
 
     std::uint64_t m_seed;
     std::vector<BrokenConnection> m_pending;
-    absl::flat_hash_map<RequestFingerprint, KnownRequest, RequestFingerprintHash> m_known;
+    absl::flat_hash_map<RequestFingerprint, TrackedRequest, RequestFingerprintHash> m_known;
     /// Requests that were answered recently.
     absl::flat_hash_map<RequestFingerprint, Answered, RequestFingerprintHash> m_answered;
     TimePoint m_answersPrunedAt {};
--- a/include/catkinwing/Membership/MembershipOptions.h
+++ b/include/catkinwing/Membership/MembershipOptions.h
@@ -61,7 +61,7 @@
     /// Maximum numbers of teams, endpoints and entry lists in one heartbeat.
     std::size_t teamsPerHeartbeat { 4 };
     std::size_t endpointsPerHeartbeat { 4 };
-    std::size_t rostersPerHeartbeat { 4 };
+    std::size_t maxRostersPerHeartbeat { 4 };
     /// Maximum number of teams in a zone digest.
     std::size_t teamsPerDigest { 4 };
 };
--- a/lib/Membership/CrashHistory.cpp
+++ b/lib/Membership/CrashHistory.cpp
@@ -125,8 +125,8 @@
         return now - history.refusedUntil > probation;
     auto isOld = [now](const EndpointCrash& crash) { return now - crash.at > crashRetention; };
     history.crashes.erase(std::remove_if(history.crashes.begin(), history.crashes.end(), isOld), history.crashes.end());
-    bool hasSurvived = history.survivedAt != TimePoint {} && now - history.survivedAt <= survivalRetention;
-    return history.crashes.empty() && !hasSurvived;
+    bool hasSurvivedRecently = history.survivedAt != TimePoint {} && now - history.survivedAt <= survivalRetention;
+    return history.crashes.empty() && !hasSurvivedRecently;
 }
 
 } // namespace catkinwing
--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -90,7 +90,7 @@
             notice.survivedAgo = ageOf(item.broken.at, now);
         else
             notice.crashes.push_back(makeToldCrash({ item.broken.endpoint, item.broken.at, item.broken.ranFor }, false, now));
-        notice.regions = std::move(item.broken.regions);
+        notice.regions = std::move(item.broken.notifiableRegions);
         notices.push_back(std::move(notice));
     }
     return notices;
@@ -131,14 +131,14 @@
     dropPending(request, now);
     recordAnswer(request, now, true);
     if (crash)
-        queueUrgent({ { request, 0, now, {}, crash->regions }, true });
+        queueUrgent({ { request, 0, now, {}, crash->notifiableRegions }, true });
     auto found = m_known.find(request);
     if (found == m_known.end() || found->second.history.crashes.empty())
         return;
-    KnownRequest& known = found->second;
+    TrackedRequest& known = found->second;
     unsigned refusals = known.history.refusals;
     if (catkinwing::recordSurvival(known.history, now))
-        recordChange(request, known, refusals, now);
+        handleHistoryChange(request, known, refusals, now);
 }
 
 // The delay depends on the seed, so that entries accept the request again at different
@@ -181,11 +181,11 @@
     };
     for (const BrokenConnection& broken : m_pending) {
         if (broken.request == request && !hasOtherCause(request, broken.endpoint))
-            consider(broken.at, !broken.isFromOtherEntry, broken.regions);
+            consider(broken.at, !broken.isFromOtherEntry, broken.notifiableRegions);
     }
     auto known = m_known.find(request);
     if (known != m_known.end() && !known->second.history.crashes.empty())
-        consider(known->second.history.crashes.back().at, !isSuspect(known->second), known->second.regions);
+        consider(known->second.history.crashes.back().at, !isSuspect(known->second), known->second.notifiableRegions);
     return last;
 }
 
@@ -212,7 +212,7 @@
     return std::max(earliest, crash.at + (turn + turnsUntilOwn) * turnLength);
 }
 
-bool CrashingRequests::isSuspect(const KnownRequest& known)
+bool CrashingRequests::isSuspect(const TrackedRequest& known)
 {
     return known.history.refusals > 0 || separateCrashes(known.history) > 1 || known.history.survivedAt != TimePoint {};
 }
@@ -236,7 +236,7 @@
     }
 }
 
-void CrashingRequests::recordChange(const RequestFingerprint& request, KnownRequest& known, unsigned refusalsBefore, TimePoint now)
+void CrashingRequests::handleHistoryChange(const RequestFingerprint& request, TrackedRequest& known, unsigned refusalsBefore, TimePoint now)
 {
     const CrashHistory& history = known.history;
     if (isSuspect(known))
@@ -264,7 +264,7 @@
         m_known.erase(byTime[i].second);
 }
 
-CrashingRequests::KnownRequest& CrashingRequests::findOrCreate(const RequestFingerprint& request)
+CrashingRequests::TrackedRequest& CrashingRequests::findOrCreate(const RequestFingerprint& request)
 {
     if (m_known.size() >= maxKnown && m_known.count(request) == 0)
         evictOldest();
@@ -279,8 +279,8 @@
 {
     if (hasOtherCause(broken.request, broken.endpoint))
         return;
-    KnownRequest& known = findOrCreate(broken.request);
-    known.regions = broken.regions;
+    TrackedRequest& known = findOrCreate(broken.request);
+    known.notifiableRegions = broken.notifiableRegions;
     unsigned refusals = known.history.refusals;
     EndpointCrash crash { broken.endpoint, broken.at, broken.ranFor };
     if (!recordCrash(known.history, crash))
@@ -290,9 +290,9 @@
     notice.crashes.push_back(makeToldCrash(crash, true, now));
     if (known.history.survivedAt != TimePoint {})
         notice.survivedAgo = ageOf(known.history.survivedAt, now);
-    notice.regions = broken.regions;
+    notice.regions = broken.notifiableRegions;
     m_settled.push_back(std::move(notice));
-    recordChange(broken.request, known, refusals, now);
+    handleHistoryChange(broken.request, known, refusals, now);
 }
 
 void CrashingRequests::pruneAnswers(TimePoint now)
@@ -364,14 +364,14 @@
     bool isEmptyNotice = reported.crashes.empty() && reported.refusals == 0;
     if (isEmptyNotice && m_known.count(notice.request) == 0)
         return;
-    KnownRequest& known = findOrCreate(notice.request);
-    known.regions = notice.regions;
+    TrackedRequest& known = findOrCreate(notice.request);
+    known.notifiableRegions = notice.regions;
     unsigned refusals = known.history.refusals;
     if (mergeHistory(known.history, reported))
-        recordChange(notice.request, known, refusals, now);
+        handleHistoryChange(notice.request, known, refusals, now);
 }
 
-CrashNotice CrashingRequests::makeNotice(const RequestFingerprint& request, const KnownRequest& known, TimePoint now)
+CrashNotice CrashingRequests::makeNotice(const RequestFingerprint& request, const TrackedRequest& known, TimePoint now)
 {
     const CrashHistory& history = known.history;
     CrashNotice notice;
@@ -383,7 +383,7 @@
         notice.survivedAgo = ageOf(history.survivedAt, now);
     notice.refusedFor = ageOf(now, history.refusedUntil);
     notice.refusals = history.refusals;
-    notice.regions = known.regions;
+    notice.regions = known.notifiableRegions;
     return notice;
 }
 
--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -102,7 +102,7 @@
         // The other zone may have received the digest although the reply was lost or
         // invalid. Its state is unknown, so the next digest contains everything.
         zone->peerKnownRoster = 0;
-        zone->sentServed.clear();
+        zone->sentServedTokens.clear();
         zone->nextExchange = now() + jittered(std::min(expected, m_options.digestRetryInterval));
         return;
     }
@@ -149,7 +149,7 @@
     digest.models = m_models;
     // Team shares are computed per region, so other regions need no totals.
     if (zone.region == m_self.region)
-        addServedTotals(sumOf(m_served, m_servedByMembers), zone.sentServed, m_options.teamsPerDigest, digest);
+        addServedTotals(sumOf(m_served, m_servedByMembers), zone.sentServedTokens, m_options.teamsPerDigest, digest);
     digest.configDigest = m_configDigest;
     digest.zonesDigest = m_zones.digest();
     bool shouldSendContacts = !zone.contactsSentAt || now() - *zone.contactsSentAt >= m_options.contactsInterval;
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -54,7 +54,7 @@
 void Membership::Impl::exchangeWithMembers()
 {
     for (auto& [name, member] : m_members.all()) {
-        if (member.isExchanging || member.isAddressTaken || now() < member.nextExchange)
+        if (member.isExchanging || member.isAddressReused || now() < member.nextExchange)
             continue;
         exchangeWith(member);
     }
@@ -221,8 +221,8 @@
         if (!zone.digest || !zone.isDirect)
             continue;
         bool isVersionKnown = member.channel.digestVersion(name) == zone.version;
-        bool isRosterKnown = member.channel.rosterDigest(name) == zone.rosterDigest;
-        bool hasRosterCapacity = content.rosters.size() < m_options.rostersPerHeartbeat;
+        bool isRosterKnown = member.channel.acknowledgedRosterDigest(name) == zone.rosterDigest;
+        bool hasRosterCapacity = content.rosters.size() < m_options.maxRostersPerHeartbeat;
         bool sendsRoster = !isRosterKnown && hasRosterCapacity;
         // A new zone is unusable without its entries, so its digest waits until a
         // heartbeat can include them.
--- a/lib/Membership/HeartbeatReception.cpp
+++ b/lib/Membership/HeartbeatReception.cpp
@@ -84,7 +84,7 @@
     for (auto& [otherName, other] : m_members.all()) {
         if (otherName == name || other.identity.peerAddress != address)
             continue;
-        other.isAddressTaken = true;
+        other.isAddressReused = true;
         other.hearsUsAt.reset();
         setState(other, MemberState::Dead);
     }
@@ -96,7 +96,7 @@
         return;
     member.heardSequence = heartbeat.sequence;
     member.heardAt = now();
-    member.isAddressTaken = false;
+    member.isAddressReused = false;
     setState(member, MemberState::Live);
     std::optional<TimePoint> acknowledgedAt = member.channel.acknowledge(heartbeat.acknowledged);
     if (acknowledgedAt)
--- a/lib/Membership/MemberTable.h
+++ b/lib/Membership/MemberTable.h
@@ -15,7 +15,7 @@
     bool draining { false };
     /// True if an entry of another name uses the peer address of this member. Exchanges
     /// with the member then stop until a heartbeat of it is received.
-    bool isAddressTaken { false };
+    bool isAddressReused { false };
 
     /// Time of the latest message received, or of the start of waiting for one.
     TimePoint heardAt {};
--- a/lib/Membership/PeerChannel.cpp
+++ b/lib/Membership/PeerChannel.cpp
@@ -107,7 +107,7 @@
     return countIn(m_digests, zone);
 }
 
-std::uint64_t PeerChannel::rosterDigest(const std::string& zone) const
+std::uint64_t PeerChannel::acknowledgedRosterDigest(const std::string& zone) const
 {
     return countIn(m_rosters, zone);
 }
--- a/lib/Membership/PeerChannel.h
+++ b/lib/Membership/PeerChannel.h
@@ -63,7 +63,7 @@
     /// Returns the version of the zone's digest that the member has; zero for none.
     std::uint64_t digestVersion(const std::string& zone) const;
     /// Returns the hash of the zone's entries that the member has; zero for none.
-    std::uint64_t rosterDigest(const std::string& zone) const;
+    std::uint64_t acknowledgedRosterDigest(const std::string& zone) const;
     bool knowsLeaving(const EndpointLeaving& endpoint) const { return m_leaving.count(endpoint) > 0; }
     /// Records that the member knows that the endpoint is leaving.
     void noteLeaving(const EndpointLeaving& endpoint) { m_leaving.insert(endpoint); }
--- a/lib/Membership/ZoneTable.h
+++ b/lib/Membership/ZoneTable.h
@@ -42,7 +42,7 @@
     std::optional<TimePoint> contactsSentAt;
     /// Served tokens by team in the digests sent to the zone, so that the next digest
     /// contains only changes. Cleared after a failed exchange.
-    CountTable sentServed;
+    CountTable sentServedTokens;
     /// Hash of this entry's zone's entries in the last digest sent.
     std::uint32_t sentRoster { 0 };
 
--- a/unittests/Membership/ZoneExchangeTest.cpp
+++ b/unittests/Membership/ZoneExchangeTest.cpp
@@ -47,7 +47,7 @@
         });
     }
 
-    void cutZones(std::size_t a, std::size_t b)
+    void partitionZones(std::size_t a, std::size_t b)
     {
         for (FakeNode* left : zone(a)) {
             for (FakeNode* right : zone(b))
@@ -144,8 +144,8 @@
 {
     ThreeZones zones(26);
     REQUIRE(zones.network.advanceUntil(20s, [&] { return zones.areAllReachable(); }));
-    zones.cutZones(0, 2);
-    zones.cutZones(1, 2);
+    zones.partitionZones(0, 2);
+    zones.partitionZones(1, 2);
     zones.network.advance(70s);
     for (std::size_t i = 0; i < 6; ++i) {
         CHECK_FALSE(zones.nodes[i]->zone("bunbury-a")->isReachable);
