--- a/include/catkinwing/Membership/MembershipOptions.h
+++ b/include/catkinwing/Membership/MembershipOptions.h
@@ -59,11 +59,11 @@
     /// Time for which a leaving endpoint is kept and sent to new members.
     Duration keepLeavingFor { std::chrono::minutes(10) };
     /// Maximum numbers of teams, endpoints and entry lists in one heartbeat.
-    std::size_t teamsPerHeartbeat { 4 };
-    std::size_t endpointsPerHeartbeat { 4 };
+    std::size_t maxTeamsPerHeartbeat { 4 };
+    std::size_t maxEndpointsPerHeartbeat { 4 };
     std::size_t maxRostersPerHeartbeat { 4 };
     /// Maximum number of teams in a zone digest.
-    std::size_t teamsPerDigest { 4 };
+    std::size_t maxTeamsPerDigest { 4 };
 };
 
 } // namespace catkinwing
--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -149,7 +149,7 @@
     digest.models = m_models;
     // Team shares are computed per region, so other regions need no totals.
     if (zone.region == m_self.region)
-        addServedTotals(sumOf(m_served, m_servedByMembers), zone.sentServedTokens, m_options.teamsPerDigest, digest);
+        addServedTotals(sumOf(m_served, m_servedByMembers), zone.sentServedTokens, m_options.maxTeamsPerDigest, digest);
     digest.configDigest = m_configDigest;
     digest.zonesDigest = m_zones.digest();
     bool shouldSendContacts = !zone.contactsSentAt || now() - *zone.contactsSentAt >= m_options.contactsInterval;
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -190,10 +190,10 @@
     if (member.channel.hasOnly(content.hashes))
         heartbeat.hashes.reset();
     heartbeat.demand = m_demand;
-    content.load = topChanges(m_load, member.channel.load(), m_options.endpointsPerHeartbeat).items;
+    content.load = topChanges(m_load, member.channel.load(), m_options.maxEndpointsPerHeartbeat).items;
     for (const NamedCount& load : content.load)
         heartbeat.load.push_back({ load.name, static_cast<std::uint32_t>(load.count) });
-    TopChanges served = topChanges(m_served, member.channel.served(), m_options.teamsPerHeartbeat);
+    TopChanges served = topChanges(m_served, member.channel.served(), m_options.maxTeamsPerHeartbeat);
     heartbeat.hasMoreServed = served.hasMore;
     content.served = std::move(served.items);
     for (const NamedCount& team : content.served)
