--- a/lib/Membership/CrashHistory.cpp
+++ b/lib/Membership/CrashHistory.cpp
@@ -21,7 +21,8 @@
 static constexpr unsigned maxDoublings = 5;
 /// Time after a refusal period during which a single crash starts another one.
 static constexpr std::chrono::minutes probation { 10 };
-/// Time for which an answer to a request is kept and reported.
+/// Time for which the fact that a request was answered is kept and reported to other
+/// entries.
 static constexpr std::chrono::seconds survivalRetention { 10 };
 
 /// Each transfer between entries shifts a reported time by up to some hundred
@@ -124,8 +125,8 @@
         return now - history.refusedUntil > probation;
     auto isOld = [now](const EndpointCrash& crash) { return now - crash.at > crashRetention; };
     history.crashes.erase(std::remove_if(history.crashes.begin(), history.crashes.end(), isOld), history.crashes.end());
-    bool hasSurvived = history.survivedAt != TimePoint {} && now - history.survivedAt <= survivalRetention;
-    return history.crashes.empty() && !hasSurvived;
+    bool hasSurvivedRecently = history.survivedAt != TimePoint {} && now - history.survivedAt <= survivalRetention;
+    return history.crashes.empty() && !hasSurvivedRecently;
 }
 
 } // namespace catkinwing
