--- a/include/catkinwing/Admission/AdmissionDecision.h
+++ b/include/catkinwing/Admission/AdmissionDecision.h
@@ -6,8 +6,8 @@
 
 namespace catkinwing {
 
-/// Why a request was not run. Every reason applies before any byte of the request
-/// leaves the daemon.
+/// Why a request was not run. A request is refused only before any of its
+/// bytes leave the daemon.
 enum class RefusalReason {
     /// No accepted policy names the team.
     UnknownTeam,
--- a/include/catkinwing/Admission/FairQueue.h
+++ b/include/catkinwing/Admission/FairQueue.h
@@ -48,7 +48,8 @@
     std::optional<QueuedRequest> evictFor(const QueuedRequest& newRequest, TimePoint now);
     /// Stops or resumes starting a team's requests, for example at its in-flight limit.
     void setTeamPaused(const std::string& team, bool paused);
-    /// Updates weights and credits; to be called about every half second.
+    /// Updates the teams' effective weights and limits how far their counters may lag
+    /// behind the virtual time. Call this about every half second.
     void refreshShares(TimePoint now);
 
     /// Applies a service counter reported by another daemon of the region.
--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -41,7 +41,8 @@
     const QueuedRequest* pick(const CanStart& canStart, TimePoint now);
     /// Adds \p tokens, which may be negative, to the service charged to a team and class.
     void adjustCharge(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
-    /// Updates weights and credits.
+    /// Updates the teams' effective weights and limits how far their counters may lag
+    /// behind the virtual time. Call this about every half second.
     void refresh(TimePoint now);
 
     RegionalShares& regionalShares() { return m_regionalShares; }
@@ -83,7 +84,8 @@
     /// Largest team counter at a pick since the counters were last rebased. A team with
     /// a smaller counter has received less than its share.
     double m_virtualTime { 0 };
-    /// Virtual time at the recent refreshes, covering the credit window.
+    /// Virtual time at each refresh of the last SharePolicy::maxCompensationTime; limits
+    /// how far a counter may lag.
     std::deque<std::pair<TimePoint, double>> m_virtualTimeHistory;
     double m_backloggedWeight { 0 };
     std::size_t m_waitingShort { 0 };
--- a/include/catkinwing/Admission/RateBucket.h
+++ b/include/catkinwing/Admission/RateBucket.h
@@ -10,7 +10,8 @@
 public:
     /// \p rate is in tokens per second, \p capacity in tokens.
     RateBucket(double rate, double capacity);
-    /// Removes \p tokens; false, without a change, if the bucket holds fewer.
+    /// Removes \p tokens and returns true; returns false and changes nothing if the
+    /// bucket holds fewer.
     bool take(double tokens, TimePoint now);
     /// Returns the time until the bucket holds \p tokens: zero if it does already,
     /// Duration::max() if it never will.
--- a/include/catkinwing/Admission/RetryBudget.h
+++ b/include/catkinwing/Admission/RetryBudget.h
@@ -13,9 +13,10 @@
     void setBurst(double burst);
     /// Sets the available budget to the max.
     void fill() { m_available = m_burst; }
-    /// Counts a first attempt.
+    /// Counts a first attempt, which adds the ratio to the budget.
     void onRequest();
-    /// Takes one retry or hedge from the budget; false if less than one is available.
+    /// Takes one retry or hedge from the budget. Returns false if less than one is
+    /// available.
     bool tryRetry();
     /// Returns the available budget, in retries.
     double available() const { return m_available; }
--- a/include/catkinwing/Admission/SlotDivision.h
+++ b/include/catkinwing/Admission/SlotDivision.h
@@ -45,7 +45,8 @@
     };
 
     Duration m_growDelay;
-    /// Samples with slots rising from front to back; the front is the min of the window.
+    /// Samples of the last m_growDelay, with older ones of more slots than a later one
+    /// removed: slots rise from front to back, and the front has the min.
     std::deque<Sample> m_samples;
 };
 
--- a/include/catkinwing/Ingress/EndpointTable.h
+++ b/include/catkinwing/Ingress/EndpointTable.h
@@ -242,7 +242,7 @@
     SharedRate m_coldTolerance { 0, 1.5, 3 };
     /// Start times of removed endpoints, by their names.
     absl::flat_hash_map<std::string, std::chrono::milliseconds> m_removedStarts;
-    /// Expiry times of the leave announcements, by the names of the starts.
+    /// Expiry times of the leave announcements, keyed by startName().
     absl::flat_hash_map<std::string, TimePoint> m_leavingStartExpiry;
     std::function<void(RoutedEndpoint&)> m_replacedObserver;
 };
--- a/include/catkinwing/Ingress/RelayedStore.h
+++ b/include/catkinwing/Ingress/RelayedStore.h
@@ -49,8 +49,8 @@
     /// Answers another entry's request for changes, which waits for the store's
     /// next answer if there are no changes yet. Refuses the request with status
     /// 503 unless this entry watches the store directly and receives answers. A
-    /// request for all keys is answered from any entry that has data, since the
-    /// sender has no other source. Each answer holds the age of its data.
+    /// request for all keys is the exception: every entry that has data answers it,
+    /// even without a watch, since the sender has no other source. Each answer holds the age of its data.
     void answerPeer(const HttpRequest& request, std::shared_ptr<HttpResponder> responder);
     /// Refuses all waiting and later requests for changes.
     void stopRelaying();
--- a/include/catkinwing/Routing/AnswerTimes.h
+++ b/include/catkinwing/Routing/AnswerTimes.h
@@ -49,7 +49,7 @@
     TimePoint decayedAt {};
 };
 
-/// Returns the default estimate of a service without any response.
+/// Returns the estimate for a service that has not returned any response yet.
 AnswerEstimate usualAnswers();
 /// Returns the estimate from the responses in \p times and from \p prior, which
 /// counts as a few responses. The estimate of the service serves as the prior of an
--- a/include/catkinwing/Routing/Forwarding.h
+++ b/include/catkinwing/Routing/Forwarding.h
@@ -163,8 +163,8 @@
     VisitedBefore };
 
 /// Checks a forwarded request at the receiving entry. \p request holds the hop
-/// count and the visited zones of the stamp, that is, of the headers that the
-/// sending entry added to the request. Its residency is the intersection of the
+/// count and the visited zones from the stamp. The stamp consists of the headers that
+/// the sending entry added to the request. Its residency is the intersection of the
 /// stamp's residency and the one that the receiving entry's configuration of the
 /// team states. Returns nothing if the request may be admitted.
 std::optional<ForwardRefusal> checkReceivedForward(const RoutingRequest& request, absl::string_view ownZone, absl::string_view ownRegion);
--- a/include/catkinwing/Routing/RoutingPolicy.h
+++ b/include/catkinwing/Routing/RoutingPolicy.h
@@ -42,7 +42,7 @@
     /// Maximum number of endpoints in a sample that are selected for having the
     /// longest cached prefixes.
     std::size_t sampledHolders { 16 };
-    /// Number of random draws for a sample.
+    /// Number of random draws that add endpoints to a sample besides the sampledHolders.
     std::size_t sampledOthers { 16 };
     /// Relative increase of the prefill time when the batch is full: 0.5 means
     /// 50 % longer.
--- a/include/catkinwing/Routing/StreamLength.h
+++ b/include/catkinwing/Routing/StreamLength.h
@@ -8,7 +8,8 @@
 /// Statistics of finished streams of one kind of request, used to predict the
 /// number of events of a stream from the maximum output tokens of its request.
 struct StreamLength {
-    /// Decaying sums over the streams whose requests stated a token limit.
+    /// Decaying sums over the streams whose requests stated a token limit: `tokens` sums
+    /// these limits, `events` the events that the streams had.
     double tokens { 0 };
     double events { 0 };
     /// Moving average of the events over all streams.
--- a/lib/Admission/DeadlineQueue.cpp
+++ b/lib/Admission/DeadlineQueue.cpp
@@ -4,7 +4,8 @@
 
 namespace catkinwing {
 
-/// Number of later requests whose costs are summed before costAhead() estimates.
+/// Max number of requests due after the deadline whose costs costAhead() sums; with
+/// more, it estimates the cost.
 static constexpr std::size_t maxExactSteps = 32;
 
 void DeadlineQueue::add(const QueuedRequest& request)
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -51,7 +51,8 @@
     /// teamsByCounter set of each of these groups.
     std::map<RequestGroup*, std::size_t> requestsByGroup;
     std::map<std::string, ClassEntry> classes;
-    /// Virtual time of the classes: the highest class counter at a pick.
+    /// Virtual time of the classes: the largest counter that a class had when it was
+    /// picked, since the last boundClassCounters().
     double classVirtualTime { 0 };
     /// Tokens charged, which a refund can decrease.
     double servedTokens { 0 };
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -136,8 +136,7 @@
     if (!team.queuedCount)
         beginBacklog(team, group, now);
     ClassEntry& entry = team.classes.at(request.requestClass);
-    // Like an idle team, an idle class accumulates no credit against the team's other
-    // classes.
+    // Like an idle team, an idle class is not compensated for its idle time.
     if (!entry.queuedCount)
         entry.counter = std::max(entry.counter, team.classVirtualTime);
 
@@ -154,8 +153,8 @@
 void PoolQueue::beginBacklog(TeamEntry& team, const RequestGroup& group, TimePoint now)
 {
     updateEffectiveWeight(team, now);
-    // Raises the counter to the virtual time, so that an idle team accumulates no
-    // credit. If the smallest counter in the group is behind the virtual time because the
+    // Raises the counter to the virtual time, so that an idle team is not
+    // compensated for its idle time. If the smallest counter in the group is behind the virtual time because the
     // group couldn't start, raises it only to that counter.
     double startCounter = m_virtualTime;
     if (!group.teamsByCounter.empty())
@@ -295,9 +294,10 @@
     team.effectiveWeight = weight;
     if (team.queuedCount)
         m_backloggedWeight += weight - old;
-    // A lead of the team over the virtual time stays the same in tokens, so that a
-    // charge made at a small effective weight doesn't block the team after the weight
-    // increases. A change of weight never increases a lag.
+    // If the counter is ahead of the virtual time, the difference stays the same in
+    // tokens, so that a charge made at a small effective weight doesn't block the team
+    // after the weight increases. If the counter is behind the virtual time, a change of
+    // weight never increases the difference.
     double lead = team.counter - m_virtualTime;
     double scale = lead > 0 ? old / weight : std::min(1.0, old / weight);
     setCounter(team, m_virtualTime + lead * scale);
--- a/lib/Ingress/CrashExchange.cpp
+++ b/lib/Ingress/CrashExchange.cpp
@@ -29,7 +29,8 @@
 /// Interval in ticks at which the notice of each suspected request is sent to one random
 /// entry, for entries that started later or were unreachable.
 static constexpr std::uint64_t suspectSendTicks = 5;
-/// Max number of datagrams to one entry in one call.
+/// Max number of datagrams that one call of encodeOutbox() makes for one entry. The
+/// notices beyond them are left out of that call.
 static constexpr std::size_t maxDatagramsPerEntry = 4;
 
 CrashExchange::CrashExchange(CrashingRequests& requests, const EntryTable& entries, EntryRecord self, Random& random)
--- a/lib/Ingress/EndpointTableChoice.cpp
+++ b/lib/Ingress/EndpointTableChoice.cpp
@@ -49,8 +49,8 @@
     return predictWait(estimate, work, slots);
 }
 
-// Number of concurrent requests that slow a request down as much as the prefill of a thousand
-// tokens before it.
+// Number of concurrent requests that delay a request as much as the prefill of a thousand
+// tokens ahead of it.
 static constexpr double requestsPerKilotoken = 2;
 
 EndpointCandidate EndpointTable::candidateOf(const RoutedEndpoint& endpoint, const EndpointRequest& request, TimePoint now) const
--- a/lib/Ingress/IngressDaemon.cpp
+++ b/lib/Ingress/IngressDaemon.cpp
@@ -160,7 +160,7 @@
     Dialect dialect;
     Metrics metrics;
     DecisionLog log;
-    /// Requests to the store by their kind.
+    /// Number of requests to the store, by kind.
     std::map<std::string, std::uint64_t> storeCalls;
     std::unique_ptr<HttpClient> storeClient;
     std::unique_ptr<HttpClient> endpointClient;
--- a/lib/Ingress/RelayedStore.cpp
+++ b/lib/Ingress/RelayedStore.cpp
@@ -83,8 +83,8 @@
     /// When the store last answered this entry's own watch; nothing before the
     /// first answer since the entry last used a relay.
     std::optional<TimePoint> storeAnsweredAt;
-    /// When the last direct watch ended. Reset by the store's next answer, not by the
-    /// start of a new watch.
+    /// Time at which the last direct watch ended. Reset when the store next answers, and
+    /// not yet when a new watch starts.
     std::optional<TimePoint> watchLostAt;
     /// Time as of which the store, directly or through a relay, confirmed this entry's data.
     std::optional<TimePoint> currentAsOf;
--- a/lib/Routing/OutlierDetector.cpp
+++ b/lib/Routing/OutlierDetector.cpp
@@ -39,7 +39,8 @@
 void OutlierDetector::record(const EndpointOutcome& outcome, TimePoint now)
 {
     TrackedEndpoint& known = findOrAdd(outcome.endpoint, outcome.peerGroup, outcome.incarnation, now);
-    // These are late outcomes of requests sent before the ejection.
+    // Outcomes that arrive during an ejection belong to requests sent before it and are
+    // ignored.
     if (known.ejected)
         return;
     known.unreachableInARow = outcome.unreachable ? known.unreachableInARow + 1 : 0;
--- a/lib/Routing/PartHolders.cpp
+++ b/lib/Routing/PartHolders.cpp
@@ -73,8 +73,8 @@
     return std::any_of(holders.begin(), holders.end(), [&](const Holder& holder) { return holder.endpoint == endpoint && isCached(holder); });
 }
 
-// Segments of removed endpoints never become stale, since those endpoints cache
-// nothing more. If too many segments remain, all records are dropped; new dispatches
+// Removes the records of segments that count as evicted. Those of removed endpoints never
+// do, since these endpoints cache nothing more. If too many segments remain, all records are dropped; new dispatches
 // restore them within seconds.
 void PartHolders::dropStale()
 {
--- a/unittests/Admission/AdmissionControllerTest.cpp
+++ b/unittests/Admission/AdmissionControllerTest.cpp
@@ -149,7 +149,8 @@
     // The request can wait 10 s, of which a fifth is the safety margin. The allowed 8 s
     // are 12 s less than the predicted wait.
     CHECK(std::chrono::duration<double>(*refused.refusal->retryAfter).count() == Approx(12).epsilon(0.1));
-    // The retry-after time is accurate: a retry then is admitted and started in time.
+    // The retry-after time is accurate: a retry 200 ms before it is refused, and one
+    // 200 ms after it is admitted.
     tightRequest.deadline += *refused.refusal->retryAfter - 200ms;
     serveBacklog(fixture, *refused.refusal->retryAfter - 200ms);
     CHECK(reasonOf(fixture.controller.admit(tightRequest, fixture.now)) == RefusalReason::PredictedLate);
@@ -275,7 +276,7 @@
     fixture.controller.finished(second->id, 100, fixture.now);
     CHECK(fixture.controller.inFlight() == 1);
 
-    // A team that is added again counts its requests in flight.
+    // A team that is removed and added again still counts its requests in flight.
     fixture.controller.configure({}, fixture.now);
     fixture.controller.configure({ limitedTeam("a", limits) }, fixture.now);
     CHECK(fixture.admit("a").admitted());
--- a/unittests/Admission/FairQueueTest.cpp
+++ b/unittests/Admission/FairQueueTest.cpp
@@ -57,7 +57,7 @@
     CHECK(region.served("quiet") / total == Approx(0.75).epsilon(0.05));
 }
 
-TEST_CASE("an idle team accumulates no credit")
+TEST_CASE("an idle team is not compensated for its idle time")
 {
     RegionFake region({ { "d" } }, { teamOf("busy", 1), teamOf("idle", 1) }, 5);
     region.setBacklogged("busy", "d", true);
@@ -135,7 +135,7 @@
     CHECK(question / review == Approx(3).epsilon(0.05));
 }
 
-TEST_CASE("a team that couldn't start is compensated for the credit window only")
+TEST_CASE("a team that couldn't start is compensated for no more than the max compensation time")
 {
     SharePolicy policy;
     FairQueue queue(policy);
--- a/unittests/Ingress/CrashingRequestTest.cpp
+++ b/unittests/Ingress/CrashingRequestTest.cpp
@@ -199,8 +199,8 @@
         CHECK(fleet.partsOf(entry).crashing.isEmpty());
 }
 
-// Guards against records of a request at an entry that only forwarded it to an allowed
-// region.
+// Guards against an entry outside a request's allowed regions that forwards the request
+// and keeps a record of its answers.
 TEST_CASE("an entry outside the allowed regions of a request doesn't record its answers")
 {
     EntryFleet fleet(1, 3, 8, { "north" });
--- a/unittests/Ingress/IngressFixture.cpp
+++ b/unittests/Ingress/IngressFixture.cpp
@@ -112,7 +112,8 @@
     ServiceSettings service;
     service.name = "service";
     parts.routes = std::make_shared<const RouteTable>(1, std::vector<Route> { std::move(route) }, std::vector<ServiceSettings> { service }, ClientLimits {});
-    // The retry budget grows with the number of requests.
+    // Fills the retry budget, which grows with the number of requests, so that tests may
+    // retry.
     for (int i = 0; i < 50; ++i)
         parts.retryBudgetOf("service").noteRequest(scheduler.clock().now());
 }
--- a/unittests/Ingress/StoreFreshnessTest.cpp
+++ b/unittests/Ingress/StoreFreshnessTest.cpp
@@ -106,13 +106,11 @@
 
 } // namespace
 
-// Guards against a healthy entry that sent requests to an endpoint 3.0 s to 3.2 s after
-// the endpoint had announced that it leaves. The entry requests changes from its relay.
-// The store did not answer the relay, which reopened its watch each time it ended and
-// answered "no changes" as with a working watch. An answer did not hold the time of the
-// store's last confirmation, and neither side limited the age of the data. The relay
-// logged the store as lost and reached in turn at one revision, and the follower logged
-// the loss of its relay only at the end. Each entry in turn has the fault here.
+// Guards against a relay that answers "no changes" while the store doesn't answer it. The
+// entries that use the relay then took old data for current and sent requests to an
+// endpoint 3.0 s to 3.2 s after it had announced that it leaves, since an answer did not
+// hold the time of the store's last confirmation and neither side limited the age of the
+// data. The test gives each fault to each entry.
 TEST_CASE("a healthy entry stops using a leaving endpoint in time, whatever fault another entry has")
 {
     for (std::size_t entries = 2; entries <= 4; ++entries) {
--- a/unittests/Routing/PartRegionChoiceTest.cpp
+++ b/unittests/Routing/PartRegionChoiceTest.cpp
@@ -36,8 +36,9 @@
     CHECK(shareOf("west", options, 270ms) == 1);
 }
 
-// About twenty entries choose between two load reports. If all moved their requests
-// at once, they would fill the idle region and move back at the next report.
+// About twenty entries choose a region for their requests in the interval between two
+// load reports. If all of them chose the idle region, they would fill it, and move back
+// at the next report.
 TEST_CASE("the share of requests that move grows gradually with the wait in the segment's region")
 {
     double before = 0;
