--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -56,23 +56,23 @@
 
 private:
     struct RequestGroup;
-    struct ClassEntry;
-    struct TeamEntry;
+    struct ClassState;
+    struct TeamState;
     using RequestGroupKey = std::pair<std::string, WorkKind>;
 
-    TeamEntry* find(const std::string& team) const;
-    void addToGroups(TeamEntry& team);
-    void removeFromGroups(TeamEntry& team);
-    void setCounter(TeamEntry& team, double counter);
-    void beginBacklog(TeamEntry& team, const RequestGroup& group, TimePoint now);
-    void endBacklog(TeamEntry& team, TimePoint now);
+    TeamState* find(const std::string& team) const;
+    void addToGroups(TeamState& team);
+    void removeFromGroups(TeamState& team);
+    void setCounter(TeamState& team, double counter);
+    void beginBacklog(TeamState& team, const RequestGroup& group, TimePoint now);
+    void endBacklog(TeamState& team, TimePoint now);
     RequestGroup* findBestGroup(const CanStart& canStart);
     const QueuedRequest& sampleRequest(RequestGroup& group) const;
-    void charge(TeamEntry& team, ClassEntry& entry, double tokens, TimePoint now);
-    RegionalStanding regionalStanding(const TeamEntry& team, TimePoint now) const;
-    void updateEffectiveWeight(TeamEntry& team, TimePoint now);
+    void charge(TeamState& team, ClassState& entry, double tokens, TimePoint now);
+    RegionalStanding regionalStanding(const TeamState& team, TimePoint now) const;
+    void updateEffectiveWeight(TeamState& team, TimePoint now);
     void rebaseCounters();
-    double creditFloor(TimePoint now);
+    double minCounter(TimePoint now);
 
     SharePolicy m_policy;
     RegionalShares m_regionalShares;
@@ -90,8 +90,8 @@
     double m_backloggedWeight { 0 };
     std::size_t m_waitingShort { 0 };
     std::size_t m_waitingLong { 0 };
-    std::vector<std::unique_ptr<TeamEntry>> m_teams;
-    absl::flat_hash_map<std::string, TeamEntry*> m_teamsByName;
+    std::vector<std::unique_ptr<TeamState>> m_teams;
+    absl::flat_hash_map<std::string, TeamState*> m_teamsByName;
     /// Tokens served to removed teams. The counter of a team that is added again
     /// continues from there, since the other daemons treat a counter that decreased as
     /// an outdated report.
--- a/include/catkinwing/Routing/EndpointView.h
+++ b/include/catkinwing/Routing/EndpointView.h
@@ -77,7 +77,7 @@
     std::vector<OwnDispatch> dispatchesSinceReport;
     /// End times of this entry's requests that ended after the report was
     /// measured, oldest first.
-    std::vector<TimePoint> endingsSinceReport;
+    std::vector<TimePoint> requestEndTimesSinceReport;
     /// Requests of other entries in flight here, derived from the report.
     unsigned othersInFlight { 0 };
     PrefillBacklog backlog;
--- a/include/catkinwing/Routing/PartHolders.h
+++ b/include/catkinwing/Routing/PartHolders.h
@@ -27,7 +27,7 @@
     /// request.
     void forget(std::uint32_t endpoint, std::uint32_t segment);
     bool holds(std::uint32_t endpoint, std::uint32_t segment) const;
-    std::size_t segments() const { return m_holders.size(); }
+    std::size_t segmentCount() const { return m_holders.size(); }
 
 private:
     struct Holder {
@@ -39,7 +39,7 @@
     using Holders = absl::InlinedVector<Holder, 2>;
 
     bool isCached(const Holder& holder) const;
-    void dropStale();
+    void removeEvictedSegments();
 
     absl::flat_hash_map<std::uint32_t, Holders> m_holders;
     /// Thousands of tokens that each endpoint has added to its cache so far.
--- a/include/catkinwing/Routing/PrefixIndex.h
+++ b/include/catkinwing/Routing/PrefixIndex.h
@@ -153,10 +153,10 @@
     NodeIndex m_firstFree { noNode };
     std::size_t m_nodesAllocated { 0 };
     /// Heap bytes of the holder lists that don't fit inline.
-    std::size_t m_overflowBytes { 0 };
+    std::size_t m_holderHeapBytes { 0 };
     NodeIndex m_newest { noNode };
     NodeIndex m_oldest { noNode };
-    std::size_t m_replacements { 0 };
+    std::size_t m_holderReplacementCount { 0 };
     absl::flat_hash_map<std::uint64_t, NodeIndex> m_nodeOf;
     std::vector<EventStream> m_eventStreams;
 };
--- a/lib/Admission/PoolEntries.cpp
+++ b/lib/Admission/PoolEntries.cpp
@@ -4,7 +4,7 @@
 
 namespace catkinwing {
 
-double PoolQueue::ClassEntry::cost() const
+double PoolQueue::ClassState::cost() const
 {
     double sum = 0;
     for (const auto& [group, queue] : queuesByGroup)
@@ -12,7 +12,7 @@
     return sum;
 }
 
-const QueuedRequest* PoolQueue::ClassEntry::firstStartable() const
+const QueuedRequest* PoolQueue::ClassState::firstStartable() const
 {
     const QueuedRequest* first = nullptr;
     for (const auto& [group, queue] : queuesByGroup) {
@@ -25,7 +25,7 @@
     return first;
 }
 
-double PoolQueue::ClassEntry::costAhead(TimePoint deadline) const
+double PoolQueue::ClassState::costAhead(TimePoint deadline) const
 {
     double sum = 0;
     for (const auto& [group, queue] : queuesByGroup)
@@ -33,9 +33,9 @@
     return sum;
 }
 
-PoolQueue::ClassEntry* PoolQueue::TeamEntry::nextClass()
+PoolQueue::ClassState* PoolQueue::TeamState::nextClass()
 {
-    ClassEntry* next = nullptr;
+    ClassState* next = nullptr;
     for (auto& [key, entry] : classes) {
         if (!entry.firstStartable())
             continue;
@@ -45,12 +45,12 @@
     return next;
 }
 
-void PoolQueue::TeamEntry::boundClassCounters(double credit)
+void PoolQueue::TeamState::boundClassCounters(double maxLag)
 {
     // Only differences between counters matter, so the counters are rebased to the
     // virtual time of the classes.
     for (auto& [key, entry] : classes)
-        entry.counter = std::max(entry.counter - classVirtualTime, -credit);
+        entry.counter = std::max(entry.counter - classVirtualTime, -maxLag);
     classVirtualTime = 0;
 }
 
--- a/lib/Admission/PoolEntries.h
+++ b/lib/Admission/PoolEntries.h
@@ -16,7 +16,7 @@
 };
 
 /// The waiting requests of one class of a team, by request group.
-struct PoolQueue::ClassEntry {
+struct PoolQueue::ClassState {
     double weight { 1 };
     /// Virtual service of the class: tokens charged per weight.
     double counter { 0 };
@@ -32,8 +32,8 @@
 };
 
 /// State of a team in the pool.
-struct PoolQueue::TeamEntry {
-    explicit TeamEntry(Duration rateSmoothing)
+struct PoolQueue::TeamState {
+    explicit TeamState(Duration rateSmoothing)
         : rate(rateSmoothing)
     {
     }
@@ -50,7 +50,7 @@
     /// Number of requests in each group. Unless the team is paused, it is in the
     /// teamsByCounter set of each of these groups.
     std::map<RequestGroup*, std::size_t> requestsByGroup;
-    std::map<std::string, ClassEntry> classes;
+    std::map<std::string, ClassState> classes;
     /// Virtual time of the classes: the largest counter that a class had when it was
     /// picked, since the last boundClassCounters().
     double classVirtualTime { 0 };
@@ -64,10 +64,10 @@
     DrainRate drainRate;
 
     /// Returns the class with the smallest counter that has a startable request.
-    ClassEntry* nextClass();
+    ClassState* nextClass();
     /// Subtracts classVirtualTime from all class counters, resets it to zero, and raises
-    /// counters below -\p credit (in tokens per weight) to that value.
-    void boundClassCounters(double credit);
+    /// counters below -\p maxLag (in tokens per weight) to that value.
+    void boundClassCounters(double maxLag);
 };
 
 } // namespace catkinwing
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -26,7 +26,7 @@
 
 PoolQueue::~PoolQueue() = default;
 
-PoolQueue::TeamEntry* PoolQueue::find(const std::string& team) const
+PoolQueue::TeamState* PoolQueue::find(const std::string& team) const
 {
     auto found = m_teamsByName.find(team);
     return found == m_teamsByName.end() ? nullptr : found->second;
@@ -34,9 +34,9 @@
 
 void PoolQueue::setTeam(const TeamPolicy& policy, bool paused, TimePoint now)
 {
-    TeamEntry* team = find(policy.name);
+    TeamState* team = find(policy.name);
     if (!team) {
-        m_teams.push_back(std::make_unique<TeamEntry>(m_policy.rateSmoothing));
+        m_teams.push_back(std::make_unique<TeamState>(m_policy.rateSmoothing));
         team = m_teams.back().get();
         team->index = m_teams.size() - 1;
         team->name = policy.name;
@@ -52,10 +52,10 @@
     updateEffectiveWeight(*team, now);
     setTeamPaused(policy.name, paused);
 
-    std::map<std::string, ClassEntry> classes;
+    std::map<std::string, ClassState> classes;
     for (const ClassPolicy& classPolicy : policy.classes) {
         auto old = team->classes.find(classPolicy.name);
-        ClassEntry& entry = classes[classPolicy.name];
+        ClassState& entry = classes[classPolicy.name];
         if (old != team->classes.end())
             entry = std::move(old->second);
         entry.weight = classPolicy.weight;
@@ -65,7 +65,7 @@
 
 void PoolQueue::removeTeam(const std::string& name)
 {
-    TeamEntry* team = find(name);
+    TeamState* team = find(name);
     if (!team)
         return;
     assert(!team->queuedCount && "a team with queued requests can't be removed");
@@ -75,7 +75,7 @@
     m_regionalShares.forgetTeam(name);
     // The last team takes the freed index, which is part of its key in the groups'
     // teamsByCounter sets.
-    TeamEntry& last = *m_teams.back();
+    TeamState& last = *m_teams.back();
     std::size_t index = team->index;
     if (&last != team) {
         removeFromGroups(last);
@@ -88,7 +88,7 @@
 
 void PoolQueue::setTeamPaused(const std::string& name, bool paused)
 {
-    TeamEntry* team = find(name);
+    TeamState* team = find(name);
     if (!team || team->paused == paused)
         return;
     removeFromGroups(*team);
@@ -96,7 +96,7 @@
     addToGroups(*team);
 }
 
-void PoolQueue::removeFromGroups(TeamEntry& team)
+void PoolQueue::removeFromGroups(TeamState& team)
 {
     if (team.paused)
         return;
@@ -104,7 +104,7 @@
         group->teamsByCounter.erase({ team.counter, team.index });
 }
 
-void PoolQueue::addToGroups(TeamEntry& team)
+void PoolQueue::addToGroups(TeamState& team)
 {
     if (team.paused)
         return;
@@ -112,7 +112,7 @@
         group->teamsByCounter.insert({ team.counter, team.index });
 }
 
-void PoolQueue::setCounter(TeamEntry& team, double counter)
+void PoolQueue::setCounter(TeamState& team, double counter)
 {
     if (counter == team.counter)
         return;
@@ -130,12 +130,12 @@
 
 void PoolQueue::add(const QueuedRequest& request, TimePoint now)
 {
-    TeamEntry& team = *find(request.team);
+    TeamState& team = *find(request.team);
     auto [groupEntry, isNewGroup] = m_groups.try_emplace({ request.model, request.kind });
     RequestGroup& group = groupEntry->second;
     if (!team.queuedCount)
         beginBacklog(team, group, now);
-    ClassEntry& entry = team.classes.at(request.requestClass);
+    ClassState& entry = team.classes.at(request.requestClass);
     // Like an idle team, an idle class is not compensated for its idle time.
     if (!entry.queuedCount)
         entry.counter = std::max(entry.counter, team.classVirtualTime);
@@ -150,7 +150,7 @@
     m_drainRate.setBusy(true, now);
 }
 
-void PoolQueue::beginBacklog(TeamEntry& team, const RequestGroup& group, TimePoint now)
+void PoolQueue::beginBacklog(TeamState& team, const RequestGroup& group, TimePoint now)
 {
     updateEffectiveWeight(team, now);
     // Raises the counter to the virtual time, so that an idle team is not
@@ -164,7 +164,7 @@
     team.drainRate.setBusy(true, now);
 }
 
-void PoolQueue::endBacklog(TeamEntry& team, TimePoint now)
+void PoolQueue::endBacklog(TeamState& team, TimePoint now)
 {
     m_backloggedWeight = std::max(0.0, m_backloggedWeight - team.effectiveWeight);
     team.drainRate.setBusy(false, now);
@@ -176,11 +176,11 @@
 
 void PoolQueue::remove(const QueuedRequest& request, TimePoint now)
 {
-    TeamEntry& team = *find(request.team);
+    TeamState& team = *find(request.team);
     auto groupEntry = m_groups.find({ request.model, request.kind });
     assert(groupEntry != m_groups.end() && "a queued request must have a group");
     RequestGroup& group = groupEntry->second;
-    ClassEntry& entry = team.classes.at(request.requestClass);
+    ClassState& entry = team.classes.at(request.requestClass);
 
     auto queue = entry.queuesByGroup.find(&group);
     queue->second.remove(request);
@@ -217,7 +217,7 @@
 
 const QueuedRequest& PoolQueue::sampleRequest(RequestGroup& group) const
 {
-    const TeamEntry& team = *m_teams[group.teamsByCounter.begin()->second];
+    const TeamState& team = *m_teams[group.teamsByCounter.begin()->second];
     const QueuedRequest* head = nullptr;
     for (const auto& [name, entry] : team.classes) {
         auto queue = entry.queuesByGroup.find(&group);
@@ -233,8 +233,8 @@
     RequestGroup* group = findBestGroup(canStart);
     if (!group)
         return nullptr;
-    TeamEntry& team = *m_teams[group->teamsByCounter.begin()->second];
-    ClassEntry& entry = *team.nextClass();
+    TeamState& team = *m_teams[group->teamsByCounter.begin()->second];
+    ClassState& entry = *team.nextClass();
     const QueuedRequest* request = entry.firstStartable();
     if (team.counter > m_virtualTime)
         m_virtualTimeRate.add(team.counter - m_virtualTime, now);
@@ -250,7 +250,7 @@
 
 void PoolQueue::adjustCharge(const std::string& name, const std::string& requestClass, double tokens, TimePoint now)
 {
-    TeamEntry* team = find(name);
+    TeamState* team = find(name);
     if (!team)
         return;
     auto entry = team->classes.find(requestClass);
@@ -258,7 +258,7 @@
         charge(*team, entry->second, tokens, now);
 }
 
-void PoolQueue::charge(TeamEntry& team, ClassEntry& entry, double tokens, TimePoint now)
+void PoolQueue::charge(TeamState& team, ClassState& entry, double tokens, TimePoint now)
 {
     updateEffectiveWeight(team, now);
     setCounter(team, team.counter + tokens / team.effectiveWeight);
@@ -275,17 +275,17 @@
 
 double PoolQueue::weightFactor(const std::string& name, TimePoint now) const
 {
-    const TeamEntry* team = find(name);
+    const TeamState* team = find(name);
     return team ? team->weightShift.weightFactor(regionalStanding(*team, now)) : 1;
 }
 
-RegionalStanding PoolQueue::regionalStanding(const TeamEntry& team, TimePoint now) const
+RegionalStanding PoolQueue::regionalStanding(const TeamState& team, TimePoint now) const
 {
     LocalServiceRates local { team.rate.rate(now), m_localServedRate.rate(now), m_virtualTimeRate.rate(now) * team.weight };
     return m_regionalShares.standing(team.name, local, now);
 }
 
-void PoolQueue::updateEffectiveWeight(TeamEntry& team, TimePoint now)
+void PoolQueue::updateEffectiveWeight(TeamState& team, TimePoint now)
 {
     double weight = team.weight * weightFactor(team.name, now);
     double old = team.effectiveWeight;
@@ -307,8 +307,8 @@
 {
     m_regionalShares.prune(now);
     rebaseCounters();
-    double floor = creditFloor(now);
-    double credit = Seconds(m_policy.creditWindow).count();
+    double floor = minCounter(now);
+    double compensationSeconds = Seconds(m_policy.creditWindow).count();
     m_backloggedWeight = 0;
     // Idle teams are updated when they have requests again.
     for (const auto& team : m_teams) {
@@ -318,19 +318,19 @@
             continue;
         team->weightShift.adapt(regionalStanding(*team, now), now);
         updateEffectiveWeight(*team, now);
-        team->boundClassCounters(credit * team->rate.rate(now));
+        team->boundClassCounters(compensationSeconds * team->rate.rate(now));
         setCounter(*team, std::max(team->counter, floor));
         m_backloggedWeight += team->effectiveWeight;
     }
 }
 
-double PoolQueue::creditFloor(TimePoint now)
+double PoolQueue::minCounter(TimePoint now)
 {
     m_virtualTimeHistory.emplace_back(now, m_virtualTime);
     while (m_virtualTimeHistory.size() > 1 && m_virtualTimeHistory[1].first <= now - m_policy.creditWindow)
         m_virtualTimeHistory.pop_front();
-    bool coversCreditWindow = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
-    return coversCreditWindow ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
+    bool coversCompensationTime = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
+    return coversCompensationTime ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
 }
 
 void PoolQueue::rebaseCounters()
@@ -355,7 +355,7 @@
 
 std::optional<double> PoolQueue::teamRate(const std::string& name, TimePoint now) const
 {
-    const TeamEntry* team = find(name);
+    const TeamState* team = find(name);
     if (!team)
         return std::nullopt;
     std::optional<double> ownRate = team->drainRate.rate(now);
@@ -370,7 +370,7 @@
 
 std::optional<Duration> PoolQueue::predictedWait(const QueuedRequest& request, TimePoint now) const
 {
-    const TeamEntry* team = find(request.team);
+    const TeamState* team = find(request.team);
     if (!team || !team->queuedCount)
         return Duration::zero();
     auto ownClass = team->classes.find(request.requestClass);
--- a/lib/Ingress/IngressDaemon.cpp
+++ b/lib/Ingress/IngressDaemon.cpp
@@ -423,7 +423,7 @@
     if (wasPaused)
         parts.endpoints.forgiveSilence(now);
     parts.endpoints.leaveSilent(now);
-    follower.houseKeep();
+    follower.runHousekeeping();
     parts.endpoints.setEntriesOfRegion(parts.entries.keysOfRegion(settings.region), ownKey());
     bool isReadyNow = isReady();
     if (isReadyNow && !wasReady) {
--- a/lib/Ingress/RoutedRunAnswers.cpp
+++ b/lib/Ingress/RoutedRunAnswers.cpp
@@ -13,7 +13,7 @@
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
 static constexpr int statusGatewayTimeout = 504;
-static constexpr int firstErrorStatus = 500;
+static constexpr int firstServerErrorStatus = 500;
 /// Reading from the endpoint pauses when this many bytes wait for a slow client.
 static constexpr std::size_t maxPendingBytes = 128u << 10;
 /// An answer that isn't a stream is buffered until it is complete, so that a request
@@ -234,7 +234,7 @@
     else if (verdict == AttemptVerdict::Answered)
         regionAcceptance().noteTaken(attempt.region, now());
     m_wasRefusedHere = m_wasRefusedHere || (wasRefused && attempt.endpoint);
-    bool hasSucceeded = verdict == AttemptVerdict::Answered && attempt.head->status < firstErrorStatus;
+    bool hasSucceeded = verdict == AttemptVerdict::Answered && attempt.head->status < firstServerErrorStatus;
     if (attempt.endpoint && hasSucceeded) {
         recordAnswerStart(attempt);
         EndpointTable::noteHeld(*attempt.endpoint, now() - attempt.startedAt, now());
@@ -275,7 +275,7 @@
         finish(attempt.head->status, "completed", "");
         return;
     }
-    bool isFailure = attempt.head->status >= firstErrorStatus;
+    bool isFailure = attempt.head->status >= firstServerErrorStatus;
     bool mayRetryFailure = isFailure && mayRepeat(*m_route) && !m_hasSentHead;
     if (!mayRetryFailure) {
         sendAnswer(*attempt.head, std::move(attempt.body));
@@ -476,7 +476,7 @@
         m_parts.metrics.observeStage("first_byte", m_service, m_firstByteAt - m_request.arrivedAt);
         m_parts.metrics.observeStage("whole", m_service, now() - m_request.arrivedAt);
     }
-    bool isPlain = absl::string_view(outcome) == "completed" && status < firstErrorStatus;
+    bool isPlain = absl::string_view(outcome) == "completed" && status < firstServerErrorStatus;
     if (isPlain ? m_parts.log.admitsPlain() : m_parts.log.admitsNotable()) {
         auto sinceArrival = [this](TimePoint time) { return std::chrono::duration_cast<milliseconds>(time - m_request.arrivedAt).count(); };
         nlohmann::json fields = {
--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -11,7 +11,7 @@
 
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
-static constexpr int firstErrorStatus = 500;
+static constexpr int firstServerErrorStatus = 500;
 /// After an endpoint crashed while running a request, an identical request is held at
 /// most this long until it is known whether the first one caused the crash.
 static constexpr milliseconds maxHoldTime { 400 };
@@ -99,7 +99,7 @@
 {
     CrashingRequests& crashing = m_parts.crashing;
     // An answer that another entry relays was also made by an endpoint.
-    bool hasSurvived = verdict == AttemptVerdict::Answered && attempt.head->status < firstErrorStatus;
+    bool hasSurvived = verdict == AttemptVerdict::Answered && attempt.head->status < firstServerErrorStatus;
     if (hasSurvived && isAllowedHere())
         crashing.noteSurvived(fingerprint(), now());
     if (!attempt.endpoint)
--- a/lib/Ingress/StoreFollower.cpp
+++ b/lib/Ingress/StoreFollower.cpp
@@ -55,7 +55,7 @@
     return !reachedAt || now() - std::max(*reachedAt, m_lastHistoryGapAt) < missingGracePeriod;
 }
 
-void StoreFollower::houseKeep()
+void StoreFollower::runHousekeeping()
 {
     bool isReached = m_source.reachedAt().has_value();
     if (isReached != m_wasReached)
--- a/lib/Ingress/StoreFollower.h
+++ b/lib/Ingress/StoreFollower.h
@@ -23,7 +23,7 @@
     void recordHistoryGap() { m_lastHistoryGapAt = now(); }
     /// Logs changes of the store's reachability, and removes registrations that are
     /// still missing after the grace period.
-    void houseKeep();
+    void runHousekeeping();
 
 private:
     void applyChange(const ConfigChange& change);
--- a/lib/Routing/EndpointView.cpp
+++ b/lib/Routing/EndpointView.cpp
@@ -46,7 +46,7 @@
 
 static void dropEndingsUntil(EndpointView& endpoint, TimePoint time)
 {
-    auto& endings = endpoint.endingsSinceReport;
+    auto& endings = endpoint.requestEndTimesSinceReport;
     endings.erase(endings.begin(), std::upper_bound(endings.begin(), endings.end(), time));
 }
 
@@ -71,7 +71,7 @@
         return;
     endpoint.ownInFlight -= 1;
     dropEndingsUntil(endpoint, now - maxRecordAge);
-    endpoint.endingsSinceReport.push_back(now);
+    endpoint.requestEndTimesSinceReport.push_back(now);
 }
 
 // Returns the requests of other entries in \p report. Subtracts all of this entry's
@@ -80,7 +80,7 @@
 static unsigned requestsOfOthers(const EndpointView& endpoint, const EndpointLoadReport& report)
 {
     std::size_t reported = report.running + report.waiting;
-    std::size_t ownAtReport = endpoint.ownInFlight + endpoint.endingsSinceReport.size();
+    std::size_t ownAtReport = endpoint.ownInFlight + endpoint.requestEndTimesSinceReport.size();
     ownAtReport -= std::min(ownAtReport, endpoint.dispatchesSinceReport.size());
     return static_cast<unsigned>(reported - std::min(reported, ownAtReport));
 }
--- a/lib/Routing/PartHolders.cpp
+++ b/lib/Routing/PartHolders.cpp
@@ -41,7 +41,7 @@
 void PartHolders::noteSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens)
 {
     if (m_holders.size() >= maxSegments)
-        dropStale();
+        removeEvictedSegments();
     std::uint64_t& stored = m_stored[endpoint];
     stored += kilotokens;
     std::uint64_t evictionThreshold = stored + m_segmentCapacity;
@@ -76,7 +76,7 @@
 // Removes the records of segments that count as evicted. Those of removed endpoints never
 // do, since these endpoints cache nothing more. If too many segments remain, all records are dropped; new dispatches
 // restore them within seconds.
-void PartHolders::dropStale()
+void PartHolders::removeEvictedSegments()
 {
     for (auto segment = m_holders.begin(); segment != m_holders.end();) {
         Holders& holders = segment->second;
--- a/lib/Routing/PrefixIndex.cpp
+++ b/lib/Routing/PrefixIndex.cpp
@@ -152,14 +152,14 @@
     return m_chunks.size() * nodesPerChunk * sizeof(Node)
         + m_nodeOf.capacity() * slotBytes
         + m_eventStreams.capacity() * sizeof(EventStream)
-        + m_overflowBytes;
+        + m_holderHeapBytes;
 }
 
 std::size_t PrefixIndex::liveBytes() const
 {
     // Adds one chunk to the nodes in use, since chunks are allocated whole.
     std::size_t fixed = nodesPerChunk * sizeof(Node) + m_eventStreams.capacity() * sizeof(EventStream);
-    return fixed + m_nodeOf.size() * (sizeof(Node) + tableBytesPerEntry) + m_overflowBytes;
+    return fixed + m_nodeOf.size() * (sizeof(Node) + tableBytesPerEntry) + m_holderHeapBytes;
 }
 
 PrefixIndex::Node& PrefixIndex::node(NodeIndex index)
@@ -233,14 +233,14 @@
         }
     }
     if (node.holders.size() >= m_policy.maxHolders) {
-        node.holders[m_replacements++ % node.holders.size()] = holder;
+        node.holders[m_holderReplacementCount++ % node.holders.size()] = holder;
         return;
     }
     std::size_t before = node.holders.capacity();
     node.holders.push_back(holder);
     std::size_t after = node.holders.capacity();
     if (after > before)
-        m_overflowBytes += (after - (before > inlineHolders ? before : 0)) * sizeof(Holder);
+        m_holderHeapBytes += (after - (before > inlineHolders ? before : 0)) * sizeof(Holder);
 }
 
 void PrefixIndex::evict(EndpointHandle endpoint, std::uint64_t hash)
@@ -307,7 +307,7 @@
     unlink(index);
     m_nodeOf.erase(removed.hash);
     if (removed.holders.capacity() > inlineHolders)
-        m_overflowBytes -= removed.holders.capacity() * sizeof(Holder);
+        m_holderHeapBytes -= removed.holders.capacity() * sizeof(Holder);
     removed.holders = {};
     removed.older = std::exchange(m_firstFree, index);
 }
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -9,11 +9,11 @@
 
 static WaitDemand firstAttempt()
 {
-    WaitDemand demand;
-    demand.latencyTarget = 600ms;
-    demand.timeout = 5s;
-    demand.timeLeft = 5s;
-    return demand;
+    WaitDemand inputs;
+    inputs.latencyTarget = 600ms;
+    inputs.timeout = 5s;
+    inputs.timeLeft = 5s;
+    return inputs;
 }
 
 TEST_CASE("the max wait is most of the latency target minus the time to first byte of an idle endpoint")
@@ -89,15 +89,15 @@
     TimePoint start { 100s };
     TimePoint busyUntil = start;
     auto receive = [&](TimePoint now, TimePoint firstAttemptAt) {
-        WaitDemand demand = firstAttempt();
-        demand.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(5s - (now - firstAttemptAt));
+        WaitDemand inputs = firstAttempt();
+        inputs.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(5s - (now - firstAttemptAt));
         Duration wait = std::max<Duration>(busyUntil - now, 0ms);
         bool isRetry = now != firstAttemptAt;
-        if (isLimited && wait > longestWait(demand, 100ms)) {
+        if (isLimited && wait > longestWait(inputs, 100ms)) {
             if (isRetry)
                 ++result.refusedTwice;
             else
-                retries.push_back({ now + schedule.book(10ms, demand.timeLeft / 3, now, random), now });
+                retries.push_back({ now + schedule.book(10ms, inputs.timeLeft / 3, now, random), now });
             return;
         }
         busyUntil = std::max(busyUntil, now) + 10ms;
--- a/unittests/Ingress/CrashingRequestTest.cpp
+++ b/unittests/Ingress/CrashingRequestTest.cpp
@@ -36,13 +36,13 @@
     }
 }
 
-std::size_t othersServed(const EntryFleet& fleet, TimePoint from)
+std::size_t harmlessRequestsServed(const EntryFleet& fleet, TimePoint from)
 {
     return static_cast<std::size_t>(std::count_if(fleet.sentRequests.begin(), fleet.sentRequests.end(),
-        [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody && request.answer->status() == 200; }));
+        [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody && request.responder->status() == 200; }));
 }
 
-std::size_t othersSent(const EntryFleet& fleet, TimePoint from)
+std::size_t harmlessRequestsSent(const EntryFleet& fleet, TimePoint from)
 {
     return static_cast<std::size_t>(std::count_if(fleet.sentRequests.begin(), fleet.sentRequests.end(), [&](const SentRequest& request) { return request.at >= from && request.body != crashingBody; }));
 }
@@ -133,10 +133,10 @@
         runWithCrashingRequest(fleet, 10s);
         fleet.advance(5s);
         INFO("seed " << seed);
-        CHECK(othersServed(fleet, after) == othersSent(fleet, after));
+        CHECK(harmlessRequestsServed(fleet, after) == harmlessRequestsSent(fleet, after));
         for (const SentRequest& request : fleet.sentRequests) {
             if (request.body != crashingBody)
-                CHECK(request.answer->body.find("crashes_endpoints") == std::string::npos);
+                CHECK(request.responder->body.find("crashes_endpoints") == std::string::npos);
         }
     }
 }
@@ -156,7 +156,7 @@
         fleet.advance(5s);
         INFO("seed " << seed << ", popular " << fleet.servedFraction("popular") << ", other " << fleet.servedFraction("other"));
         for (const SentRequest& request : fleet.sentRequests)
-            REQUIRE(request.answer->body.find("crash") == std::string::npos);
+            REQUIRE(request.responder->body.find("crash") == std::string::npos);
     }
 }
 
--- a/unittests/Ingress/EntryFleet.cpp
+++ b/unittests/Ingress/EntryFleet.cpp
@@ -296,7 +296,7 @@
     routed.facts = m_dialect.readRequest(routed.http);
     routed.arrivedAt = now();
     if (isUp(entry))
-        std::make_shared<RoutedRun>(m_entries[entry]->parts, std::move(routed), request.answer)->begin();
+        std::make_shared<RoutedRun>(m_entries[entry]->parts, std::move(routed), request.responder)->begin();
     sentRequests.push_back(std::move(request));
 }
 
@@ -380,8 +380,8 @@
 {
     m_entries[entry]->isUp = false;
     for (const SentRequest& request : sentRequests) {
-        if (request.entry == entry && request.answer->isOpen())
-            request.answer->leave();
+        if (request.entry == entry && request.responder->isOpen())
+            request.responder->leave();
     }
     for (const std::weak_ptr<PeerResponder>& forward : m_entries[entry]->forwards) {
         if (std::shared_ptr<PeerResponder> open = forward.lock())
@@ -474,7 +474,7 @@
         if (request.body != body || request.at < from)
             continue;
         ++all;
-        served += request.answer->status() == 200 ? 1 : 0;
+        served += request.responder->status() == 200 ? 1 : 0;
     }
     return all > 0 ? static_cast<double>(served) / static_cast<double>(all) : 0;
 }
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -30,7 +30,7 @@
     std::string body;
     std::size_t entry { 0 };
     TimePoint at {};
-    std::shared_ptr<FakeResponder> answer;
+    std::shared_ptr<FakeResponder> responder;
 };
 
 /// One attempt of a request at an endpoint.
--- a/unittests/Ingress/StoreFollowerTest.cpp
+++ b/unittests/Ingress/StoreFollowerTest.cpp
@@ -130,7 +130,7 @@
     {
         m_follower.start();
     }
-    void houseKeep() { m_follower.houseKeep(); }
+    void runHousekeeping() { m_follower.runHousekeeping(); }
 
 private:
     StoreFollower m_follower;
@@ -145,7 +145,7 @@
     {
         list(true);
     }
-    void houseKeep() { }
+    void runHousekeeping() { }
 
 private:
     void list(bool appliesValues)
@@ -202,7 +202,7 @@
     for (Duration passed {}; passed < span; passed += checkInterval) {
         std::int64_t before = tables.version();
         tables.fixture.scheduler.advance(checkInterval);
-        follower.houseKeep();
+        follower.runHousekeeping();
         if (tables.version() < before)
             return "the version in force decreased";
         if (tables.version() > tables.reference.version)
--- a/unittests/Ingress/StoreZone.cpp
+++ b/unittests/Ingress/StoreZone.cpp
@@ -249,7 +249,7 @@
 
     void houseKeep()
     {
-        follower.houseKeep();
+        follower.runHousekeeping();
         fixture.scheduler.callAfter(houseKeepingInterval, [this] { houseKeep(); });
     }
 
--- a/unittests/Routing/EndpointViewTest.cpp
+++ b/unittests/Routing/EndpointViewTest.cpp
@@ -73,7 +73,7 @@
         recordDispatch(endpoint, 1, start + i * 100ms);
         recordSettled(endpoint, start + i * 100ms);
     }
-    CHECK(endpoint.endingsSinceReport.size() <= 101);
+    CHECK(endpoint.requestEndTimesSinceReport.size() <= 101);
 }
 
 TEST_CASE("a report older than the present one is ignored")
--- a/unittests/Routing/PartHoldersTest.cpp
+++ b/unittests/Routing/PartHoldersTest.cpp
@@ -47,7 +47,7 @@
     PartHolders holders;
     for (std::uint32_t segment = 0; segment < 200'000; ++segment)
         holders.noteSent(segment % 10'000, segment, 17);
-    CHECK(holders.segments() <= 32'768);
+    CHECK(holders.segmentCount() <= 32'768);
     CHECK(holders.holds(199'999 % 10'000, 199'999));
 }
 
