--- a/bench/ControlBench/MembershipCost.cpp
+++ b/bench/ControlBench/MembershipCost.cpp
@@ -101,7 +101,7 @@
         for (std::size_t entry = 0; entry < shape.entries; ++entry) {
             FakeNode& node = network.add(absl::StrCat(zoneName(shape, zone), "-", entry), zoneName(shape, zone), addressOf(zone, entry));
             for (std::size_t other = 0; other < shape.zones; ++other)
-                node.membership->learn({ { addressOf(other, 0), zoneName(shape, other), "" } });
+                node.membership->addCandidates({ { addressOf(other, 0), zoneName(shape, other), "" } });
         }
     }
 }
--- a/bench/ControlBench/RoutingCost.cpp
+++ b/bench/ControlBench/RoutingCost.cpp
@@ -156,7 +156,7 @@
         m_firstTokens.erase(m_firstTokens.begin());
     }
     while (!m_endings.empty() && m_endings.begin()->first <= m_now) {
-        m_cell.recordSettled(m_endings.begin()->second, m_endings.begin()->first);
+        m_cell.recordRequestEnded(m_endings.begin()->second, m_endings.begin()->first);
         m_endings.erase(m_endings.begin());
     }
 }
--- a/bench/PolicyBench/Driver.cpp
+++ b/bench/PolicyBench/Driver.cpp
@@ -142,7 +142,7 @@
     request.spread = m_random.bits();
     request.zone = traced.zone;
     request.region = region;
-    return *m_entries[steerCallers(request, views, m_policy.slowStart, m_scheduler.clock().now()).front()];
+    return *m_entries[rankEntries(request, views, m_policy.slowStart, m_scheduler.clock().now()).front()];
 }
 
 void Driver::arrive(const TraceRequest& traced)
--- a/bench/PolicyBench/Entry.cpp
+++ b/bench/PolicyBench/Entry.cpp
@@ -135,7 +135,7 @@
         noteWaiting(*run, 1);
         schedulePump();
     }
-    dropAll(decision.dropped);
+    dropAll(decision.evicted);
     if (decision.refusal)
         drop(run, *decision.refusal);
 }
@@ -179,7 +179,7 @@
 void Entry::pump()
 {
     CanStart canStart = [this](const QueuedRequest& request) { return m_cell.freeCredits(request.model) > 0; };
-    while (std::optional<QueuedRequest> next = m_admission.next(canStart, now())) {
+    while (std::optional<QueuedRequest> next = m_admission.startNext(canStart, now())) {
         RunPointer run = m_runs.at(next->id);
         noteWaiting(*run, -1);
         run->started = true;
@@ -196,7 +196,7 @@
         startAt(run, *placement);
         return;
     }
-    if (std::get<NoPlacement>(result).reason == NoPlacementReason::NoSlot && m_admission.putBack(run->id, now())) {
+    if (std::get<NoPlacement>(result).reason == NoPlacementReason::NoSlot && m_admission.requeue(run->id, now())) {
         run->started = false;
         run->phase = RequestRun::Phase::Waiting;
         noteWaiting(*run, 1);
@@ -244,14 +244,14 @@
     EndpointHandle handle = run->placement.endpoint;
     if (!run->firstTokenAt)
         m_cell.recordFirstToken(handle, run->placement.prefillTokens);
-    m_cell.recordSettled(handle, now());
+    m_cell.recordRequestEnded(handle, now());
     bool failed = attemptEnd == AttemptEnd::Unreachable || attemptEnd == AttemptEnd::Failed;
     EndpointOutcome outcome { m_cell.endpoint(handle).name, benchModel, "1", failed, std::nullopt, attemptEnd == AttemptEnd::Unreachable };
     if (attemptEnd == AttemptEnd::Whole && run->traced->outputTokens > 1) {
         Duration decodeTime = now() - *run->firstTokenAt;
         double tokens = run->traced->outputTokens - 1;
         outcome.latency = std::chrono::duration_cast<Duration>(decodeTime / tokens);
-        m_cell.modify(handle, [&](EndpointView& view) { learnSpeeds(view, { 0, Duration::zero(), tokens, decodeTime, now() - run->sentAt }); });
+        m_cell.modify(handle, [&](EndpointView& view) { updateSpeeds(view, { 0, Duration::zero(), tokens, decodeTime, now() - run->sentAt }); });
     }
     run->engine = nullptr;
     m_outliers.record(outcome, now());
@@ -297,7 +297,7 @@
 void Entry::end(const RunPointer& run, Ending ending)
 {
     settle(run, AttemptEnd::Whole);
-    m_outputs.learn({ run->traced->team, run->traced->requestClass, benchModel }, run->traced->outputTokens);
+    m_outputs.recordOutput({ run->traced->team, run->traced->requestClass, benchModel }, run->traced->outputTokens);
     retire(run, estimateCost({ run->routing.promptTokens, 0, static_cast<double>(run->traced->outputTokens), outputWeight }));
     m_parts.network.ended(run, ending);
 }
@@ -305,7 +305,7 @@
 void Entry::retire(const RunPointer& run, double cost)
 {
     if (run->started)
-        m_admission.finished(run->id, cost, now());
+        m_admission.finish(run->id, cost, now());
     run->started = false;
     m_runs.erase(run->id);
     schedulePump();
--- a/bench/PolicyBench/main.cpp
+++ b/bench/PolicyBench/main.cpp
@@ -41,7 +41,7 @@
         { "outlierSmoothing", [](PolicySettings& p, double v) { p.outliers.smoothing = v; } },
         { "slowStartMs", [](PolicySettings& p, double v) { p.slowStart.window = p.forwarding.slowStart.window = milliseconds(v); } },
         { "rateSmoothingMs", [](PolicySettings& p, double v) { p.shares.rateSmoothing = milliseconds(v); } },
-        { "creditWindowMs", [](PolicySettings& p, double v) { p.shares.creditWindow = milliseconds(v); } },
+        { "creditWindowMs", [](PolicySettings& p, double v) { p.shares.maxCompensationTime = milliseconds(v); } },
         { "maxReserve", [](PolicySettings& p, double v) { p.reservation.maxReserve = v; } },
         { "minReserve", [](PolicySettings& p, double v) { p.reservation.minReserve = v; } },
     };
--- a/fuzz/FuzzPlatformRequest.cpp
+++ b/fuzz/FuzzPlatformRequest.cpp
@@ -29,9 +29,9 @@
     for (const char* withheld : { "connection", "transfer-encoding", "content-length", "expect-instance", "catkinwing-from" })
         require(!facts.forwarded.find(withheld), "what only the system may set isn't passed on");
     require(!facts.timeLeft || facts.timeLeft->count() >= 0, "a deadline isn't past");
-    require(dialect.readDirectoryQuestion(request).has_value(), "the path tells a directory's question");
+    require(dialect.readDirectoryQuery(request).has_value(), "the path tells a directory's question");
     HttpResponseHead head { 200, request.headers };
-    AnswerFacts answer = dialect.readAnswer(head);
+    ResponseFacts answer = dialect.readResponse(head);
     require(!answer.isOtherIncarnation, "the status tells another incarnation");
     AttemptFacts attempt { "i-1", std::chrono::milliseconds(5), 3, 1 };
     dialect.writeAttempt(attempt, facts.forwarded);
--- a/include/catkinwing/Admission/AdmissionController.h
+++ b/include/catkinwing/Admission/AdmissionController.h
@@ -34,14 +34,14 @@
     /// request that can no longer meet its deadline; expire() returns those.
     /// \p canStart says whether a model has a free slot; the controller applies
     /// slot reservations and the teams' limits.
-    std::optional<QueuedRequest> next(const CanStart& canStart, TimePoint now);
+    std::optional<QueuedRequest> startNext(const CanStart& canStart, TimePoint now);
     /// Queues a request from startNext() again if no endpoint accepted it, and refunds its
     /// charge. Returns false if its team or class was removed; the request must then be
     /// refused.
-    bool putBack(RequestId id, TimePoint now);
+    bool requeue(RequestId id, TimePoint now);
     /// Ends a request from startNext() and corrects its charge to \p actualCost tokens, which
     /// is zero if the request was not run.
-    void finished(RequestId id, double actualCost, TimePoint now);
+    void finish(RequestId id, double actualCost, TimePoint now);
     /// Removes a waiting request whose caller disconnected; returns false if the
     /// request isn't waiting.
     bool remove(RequestId id, TimePoint now);
--- a/include/catkinwing/Admission/AdmissionDecision.h
+++ b/include/catkinwing/Admission/AdmissionDecision.h
@@ -61,7 +61,7 @@
     std::optional<Refusal> refusal;
     /// Requests evicted from the queue to make space for the new one. The new request
     /// may still be refused if the evictions free too little space.
-    std::vector<DroppedRequest> dropped;
+    std::vector<DroppedRequest> evicted;
 
     bool admitted() const { return !refusal; }
 };
--- a/include/catkinwing/Admission/AdmissionLimits.h
+++ b/include/catkinwing/Admission/AdmissionLimits.h
@@ -12,20 +12,20 @@
 
 /// Limits on the queued requests of the whole daemon: their number and their bytes.
 struct AdmissionLimits {
-    std::size_t queuedRequests { 4096 };
-    std::size_t queuedBytes { std::size_t { 64 } << 20 };
+    std::size_t maxQueuedRequests { 4096 };
+    std::size_t maxQueuedBytes { std::size_t { 64 } << 20 };
 };
 
 /// Limits of one team in this daemon.
 struct TeamLimits {
     /// Maximum number of requests that are started and have not ended; further requests
     /// wait.
-    std::size_t inFlight { unlimitedCount };
+    std::size_t maxInFlight { unlimitedCount };
     /// Maximum number of waiting requests; further requests are refused.
-    std::size_t queued { unlimitedCount };
+    std::size_t maxQueued { unlimitedCount };
     /// Maximum number of one caller's requests, waiting or in flight; further requests
     /// are refused.
-    std::size_t perCaller { unlimitedCount };
+    std::size_t requestsPerCaller { unlimitedCount };
     /// Maximum sustained rate; zero stands for no limit.
     double requestsPerSecond { 0 };
     /// Burst size in requests on top of the sustained rate.
@@ -55,12 +55,12 @@
     /// among the daemons of a region.
     Duration rateSmoothing { std::chrono::seconds(2) };
     /// Time after a peer's last report for which its last rate still counts.
-    Duration peerSilence { std::chrono::seconds(3) };
+    Duration peerReportTimeout { std::chrono::seconds(3) };
     /// Time after its last served request for which a peer still counts as serving a
     /// team.
-    Duration peerIdle { std::chrono::seconds(10) };
+    Duration peerIdleTimeout { std::chrono::seconds(10) };
     /// Maximum time for which a backlogged team that couldn't be served is compensated.
-    Duration creditWindow { std::chrono::seconds(5) };
+    Duration maxCompensationTime { std::chrono::seconds(5) };
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Admission/OutputEstimator.h
+++ b/include/catkinwing/Admission/OutputEstimator.h
@@ -32,7 +32,7 @@
     /// Returns the expected output tokens. \p prior has the weight of a few responses.
     double expectedOutput(const OutputKey&, double prior);
     /// Records a response of \p outputTokens.
-    void learn(const OutputKey&, double outputTokens);
+    void recordOutput(const OutputKey&, double outputTokens);
     /// Returns the number of keys held.
     std::size_t size() const { return m_entries.size(); }
 
--- a/include/catkinwing/Admission/RegionalShares.h
+++ b/include/catkinwing/Admission/RegionalShares.h
@@ -58,12 +58,12 @@
     /// that decreased, are ignored.
     void apply(const ServiceSource& source, const ServiceCounter& counter, TimePoint now);
     /// Removes a source that has left.
-    void forget(const std::string& source);
+    void removeSource(const std::string& source);
     /// Removes a team that no longer exists.
-    void forgetTeam(const std::string& team) { m_teams.erase(team); }
+    void removeTeam(const std::string& team) { m_teams.erase(team); }
     /// Removes sources that have reported nothing for so long that their rates have
     /// decayed.
-    void prune(TimePoint now);
+    void removeExpired(TimePoint now);
     /// Returns the standing of a team, given the rates of this daemon.
     RegionalStanding standing(const std::string& team, const LocalServiceRates& local, TimePoint now) const;
 
--- a/include/catkinwing/Admission/RetryWindow.h
+++ b/include/catkinwing/Admission/RetryWindow.h
@@ -45,12 +45,12 @@
     }
 
     void setAllowance(const RetryAllowance& allowance) { m_allowance = allowance; }
-    void noteRequest(TimePoint now);
+    void recordRequest(TimePoint now);
     /// Takes one retry; false if none is left.
     bool tryRetry(TimePoint now, RetryOrder order = RetryOrder::First);
     bool hasRetry(TimePoint now, RetryOrder order = RetryOrder::First) const;
     /// Counts a retry that was not made because the allowance is used up.
-    void noteDenied() { ++m_totals.denied; }
+    void recordDenied() { ++m_totals.denied; }
     const RetryTotals& totals() const { return m_totals; }
 
 private:
--- a/include/catkinwing/Admission/SlotReservation.h
+++ b/include/catkinwing/Admission/SlotReservation.h
@@ -49,7 +49,7 @@
 public:
     explicit SlotReservation(const ReservationPolicy& policy = {});
     /// Records the number of short requests in flight and waiting.
-    void noteShort(std::size_t inFlight, std::size_t waiting, TimePoint now);
+    void recordShortWorkDemand(std::size_t inFlight, std::size_t waiting, TimePoint now);
     /// Returns whether work of \p kind may take one more slot.
     bool mayStart(WorkKind kind, const SlotUse& use, TimePoint now) const;
 
--- a/include/catkinwing/Admission/WaitLimit.h
+++ b/include/catkinwing/Admission/WaitLimit.h
@@ -6,7 +6,7 @@
 namespace catkinwing {
 
 /// Latency target and time limits of a request, from which its max wait is computed.
-struct WaitDemand {
+struct WaitLimitInputs {
     /// Shortest latency target among the request kinds of the service that are at
     /// least as urgent; zero if none is set.
     std::chrono::milliseconds latencyTarget { 0 };
@@ -21,16 +21,16 @@
 /// request that waits longer misses its latency target and delays all requests
 /// queued behind it. The limit doesn't depend on the size of the request.
 /// \p idleFirstByte is the time to first byte of an idle endpoint.
-Duration longestWait(const WaitDemand& demand, Duration idleFirstByte);
+Duration maxQueueWait(const WaitLimitInputs& demand, Duration idleFirstByte);
 
 /// Assigns retry-after times to refused clients: one after the other, at the rate
 /// at which the endpoints can serve them in addition to new requests.
-class ReturnSchedule {
+class RetryAfterSchedule {
 public:
     /// Books the next retry time and returns the delay until then. \p work is the
     /// time that all endpoints together take for the request; \p maxDelay is the max
     /// time that the client waits.
-    std::chrono::milliseconds book(Duration work, std::chrono::milliseconds maxDelay, TimePoint now, Random& random);
+    std::chrono::milliseconds bookRetry(Duration work, std::chrono::milliseconds maxDelay, TimePoint now, Random& random);
 
 private:
     TimePoint m_next {};
--- a/include/catkinwing/Gateway/EndpointRegistry.h
+++ b/include/catkinwing/Gateway/EndpointRegistry.h
@@ -98,7 +98,7 @@
 private:
     void upsert(const EndpointSettings& settings, TimePoint now);
     void refresh(EndpointHandle handle, TimePoint now);
-    LifecycleChange record(const LifecycleSign& sign, TimePoint now);
+    LifecycleChange record(const LifecycleReport& sign, TimePoint now);
     std::size_t creditFor(const EndpointView& view, const std::vector<MemberView>& members, const std::map<std::string, std::size_t>& queued, TimePoint now);
 
     std::string m_self;
--- a/include/catkinwing/Gateway/RequestRun.h
+++ b/include/catkinwing/Gateway/RequestRun.h
@@ -110,7 +110,7 @@
     AcceptedRequest m_request;
     AnswerWriter m_answer;
     Phase m_phase { Phase::New };
-    /// True between next() and finished() of the admission.
+    /// True between startNext() and finish() of the admission.
     bool m_isStarted { false };
     /// Computed when it is first asked for.
     std::optional<RequestFingerprint> m_fingerprint;
--- a/include/catkinwing/Ingress/CrashExchange.h
+++ b/include/catkinwing/Ingress/CrashExchange.h
@@ -24,9 +24,9 @@
     /// Returns the datagrams to send without waiting for the next tick. They report
     /// connections that have just broken, and answers which show that a request didn't
     /// crash its endpoint.
-    std::vector<OutgoingDatagram> tellUrgent(TimePoint now);
+    std::vector<OutgoingDatagram> takeUrgentDatagrams(TimePoint now);
     /// Records the notices of \p report. Ignores the report if \p from isn't a registered entry.
-    void take(const SocketAddress& from, const CrashReport& report, TimePoint now);
+    void handleReport(const SocketAddress& from, const CrashReport& report, TimePoint now);
 
 private:
     /// Notice of a settled crash that still has to be sent to the entries that count the
--- a/include/catkinwing/Ingress/EndpointTable.h
+++ b/include/catkinwing/Ingress/EndpointTable.h
@@ -6,10 +6,10 @@
 #include "catkinwing/Ingress/PeerLoads.h"
 #include "catkinwing/Membership/ShareDivision.h"
 #include "catkinwing/PeerProtocol/RegionReport.h"
-#include "catkinwing/Routing/AnswerTimes.h"
 #include "catkinwing/Routing/EndpointChoice.h"
-#include "catkinwing/Routing/PartHolders.h"
-#include "catkinwing/Routing/PartRegions.h"
+#include "catkinwing/Routing/ResponseTimes.h"
+#include "catkinwing/Routing/SegmentHolders.h"
+#include "catkinwing/Routing/SegmentRegions.h"
 #include "catkinwing/Support/Random.h"
 #include <absl/container/flat_hash_map.h>
 #include <functional>
@@ -21,13 +21,13 @@
 namespace catkinwing {
 
 /// Why the attempts in flight at an endpoint are aborted.
-enum class GiveUpReason {
+enum class AbortReason {
     /// A later start has replaced the endpoint, so no response can arrive any more.
-    StartedAgain,
+    Restarted,
     /// The endpoint has sent nothing for too long, and most entries that use it report
     /// the same. It may still be running, so only attempts that may be retried are
     /// aborted.
-    Silent,
+    Unresponsive,
 };
 
 /// State that this entry keeps about one start of an endpoint. Shared with the requests
@@ -59,34 +59,34 @@
     /// the endpoint has sent nothing.
     TimePoint silentSince {};
     /// Number of requests of this entry that have not ended.
-    unsigned inFlight { 0 };
+    unsigned requestsInFlight { 0 };
     /// Estimated prompt tokens of these requests that still need prefill.
-    std::int64_t unreadTokens { 0 };
+    std::int64_t unprefilledTokens { 0 };
     /// Response times of all endpoints of the service, as measured by this entry; shared
     /// by these endpoints.
-    std::shared_ptr<AnswerTimes> serviceTimes { std::make_shared<AnswerTimes>() };
+    std::shared_ptr<ResponseTimes> serviceResponseTimes { std::make_shared<ResponseTimes>() };
     /// Response times of this endpoint, as measured by this entry.
-    AnswerTimes answerTimes;
+    ResponseTimes responseTimes;
     /// This entry's share of the request rate that the endpoint sustains while cold.
     std::optional<TokenBucket> coldRateLimit;
     /// Functions that abort this entry's attempts in flight at the endpoint, by the
     /// number of the attempt.
-    absl::flat_hash_map<std::uint64_t, std::function<void(GiveUpReason reason)>> giveUps;
+    absl::flat_hash_map<std::uint64_t, std::function<void(AbortReason reason)>> abortCallbacks;
 };
 
 /// Criteria of a request for the choice of its endpoint.
 struct EndpointRequest {
     const ServiceSettings* service { nullptr };
-    std::string sharedPart;
+    std::string sharedSegment;
     std::int64_t sharedTokens { 0 };
     /// Expected number of events in the response.
-    double events { 0 };
+    double expectedEvents { 0 };
     /// Incarnations at which the request has been attempted.
-    const std::vector<std::string>* tried { nullptr };
+    const std::vector<std::string>* attemptedIncarnations { nullptr };
     /// Whether an endpoint that is listed in tried may be chosen, ranked like a suspect one.
-    bool mayBeTried { false };
+    bool allowsAttempted { false };
     /// Limit of the wait, above which an endpoint counts as too busy; null for no limit.
-    const WaitDemand* demand { nullptr };
+    const WaitLimitInputs* demand { nullptr };
 };
 
 /// The endpoints of all regions by incarnation, and the load, failures and response times
@@ -102,12 +102,12 @@
     void put(EndpointRecord record, TimePoint now);
     /// Records that the registration under the name can't be parsed. A known endpoint isn't
     /// used until a valid registration arrives; an unknown one isn't added.
-    void noteUnreadable(const std::string& incarnation);
+    void recordUnreadable(const std::string& incarnation);
     /// Removes an endpoint whose registration was deleted while the store was healthy.
     void remove(const std::string& incarnation, TimePoint now);
     /// Records that the registration disappeared during an outage of the store.
     /// removeMissing() removes the endpoint unless put() is called for it before.
-    void noteMissing(const std::string& incarnation);
+    void recordMissing(const std::string& incarnation);
     /// Removes all missing endpoints. Called when endpoints that are still running have
     /// had the time to register again.
     void removeMissing(TimePoint now);
@@ -125,60 +125,60 @@
     /// limit of the endpoint if that is cold. Returns null if no endpoint is eligible.
     std::shared_ptr<RoutedEndpoint> choose(const EndpointRequest& request, TimePoint now, Random& random);
     /// Records the start of an attempt at the endpoint.
-    void noteBegan(RoutedEndpoint& endpoint, TimePoint now) const;
+    void recordAttemptStarted(RoutedEndpoint& endpoint, TimePoint now) const;
     /// Calls the abort callbacks of the attempts at unresponsive endpoints. Attempts that must
     /// not be retried stay in flight.
-    void leaveSilent(TimePoint now);
+    void abortUnresponsive(TimePoint now);
     /// Restarts the silence intervals of all endpoints after a pause of this process, during
     /// which it could receive nothing.
-    void forgiveSilence(TimePoint now);
+    void resetSilence(TimePoint now);
     /// Returns the pending work of an endpoint: that of this entry plus the work that the
     /// other entries report.
-    EndpointWork workOf(const RoutedEndpoint& endpoint) const;
+    EndpointWork pendingWork(const RoutedEndpoint& endpoint) const;
     /// Returns the predicted wait of a request that is sent to the endpoint now.
-    static Duration waitAt(const RoutedEndpoint& endpoint, const AnswerEstimate& estimate, const EndpointWork& work, const ServiceSettings& service);
+    static Duration predictedWait(const RoutedEndpoint& endpoint, const ResponseEstimate& estimate, const EndpointWork& work, const ServiceSettings& service);
     /// Returns the response estimate of the endpoint. The estimate of its service is used
     /// as the prior.
-    static AnswerEstimate responseEstimateOf(const RoutedEndpoint& endpoint, TimePoint now);
+    static ResponseEstimate responseEstimateOf(const RoutedEndpoint& endpoint, TimePoint now);
     /// Records the time to the first byte of a response, for the endpoint and its service.
-    static void noteFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now);
+    static void recordFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now);
     /// Records for how long a request occupied a slot.
-    static void noteHeld(RoutedEndpoint& endpoint, Duration held, TimePoint now);
+    static void recordSlotTime(RoutedEndpoint& endpoint, Duration held, TimePoint now);
     /// Records that a stream received \p events events after \p pause.
-    static void noteEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now);
+    static void recordEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now);
     /// Records that bytes were received from the endpoint.
-    void noteHeard(RoutedEndpoint& endpoint, TimePoint now) const { endpoint.silentSince = now; }
+    void recordBytesReceived(RoutedEndpoint& endpoint, TimePoint now) const { endpoint.silentSince = now; }
     /// Returns how many tokens of a prompt need prefill at the endpoint, and records that
     /// the endpoint caches the shared segment from now on.
-    std::int64_t tokensToRead(const RoutedEndpoint& endpoint, std::int64_t promptTokens, std::int64_t sharedTokens, absl::string_view sharedSegment, TimePoint now);
+    std::int64_t recordSegmentAndGetPrefillTokens(const RoutedEndpoint& endpoint, std::int64_t promptTokens, std::int64_t sharedTokens, absl::string_view sharedSegment, TimePoint now);
     /// Records that a request with the shared segment was sent to \p region.
-    void noteSentToRegion(const std::string& region, absl::string_view sharedSegment, TimePoint now);
+    void recordSentToRegion(const std::string& region, absl::string_view sharedSegment, TimePoint now);
     /// Records that the endpoint has not executed a request and therefore doesn't cache its
     /// shared segment.
-    void noteNotRead(const RoutedEndpoint& endpoint, absl::string_view sharedSegment);
+    void removeSegment(const RoutedEndpoint& endpoint, absl::string_view sharedSegment);
     /// Returns the shortest predicted wait among the endpoints of this region that cache
     /// the shared segment; nothing if none does.
-    std::optional<Duration> waitForHolder(const ServiceSettings& service, absl::string_view sharedSegment, TimePoint now) const;
+    std::optional<Duration> minWaitForSegment(const ServiceSettings& service, absl::string_view sharedSegment, TimePoint now) const;
     /// Records the shared segments that another entry of the region reports as sent.
-    void takePartsSent(const std::vector<PartSent>& segments, TimePoint now);
+    void recordPeerSegments(const std::vector<PartSent>& segments, TimePoint now);
     /// Returns and clears the shared segments that this entry has sent since the last call,
     /// for its load report.
-    std::vector<PartSent> partsSent() { return std::exchange(m_segmentsSent, {}); }
+    std::vector<PartSent> takeSentSegments() { return std::exchange(m_segmentsSent, {}); }
     /// Records the end of an attempt. \p isFailure is true if the endpoint, not the request,
     /// was at fault.
-    void noteEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now);
+    void recordAttemptEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now);
     /// Records that the endpoint has announced that it is leaving, or has terminated. Applies
     /// to this start even if its registration states otherwise or is written again.
-    void noteLeaving(RoutedEndpoint& endpoint, TimePoint now);
+    void recordLeaving(RoutedEndpoint& endpoint, TimePoint now);
     /// Records that the endpoint refused a request and asked for a pause of \p pause.
-    static void notePause(RoutedEndpoint& endpoint, std::chrono::milliseconds pause, TimePoint now);
+    static void recordPause(RoutedEndpoint& endpoint, std::chrono::milliseconds pause, TimePoint now);
     /// Returns the time until the first usable endpoint of this region ends its pause; zero
     /// if one isn't paused, or if there is no usable endpoint.
-    Duration pauseOf(absl::string_view service, TimePoint now) const;
+    Duration minRemainingPause(absl::string_view service, TimePoint now) const;
 
     /// Returns this entry's workload at each endpoint that it uses or suspects, for its load
     /// report.
-    std::vector<EndpointWorkload> ownLoads(TimePoint now) const;
+    std::vector<EndpointWorkload> ownWorkloads(TimePoint now) const;
     PeerLoads& peerLoads() { return m_peerLoads; }
 
     /// Returns the predicted wait and speeds of the endpoints of this region for
@@ -187,19 +187,19 @@
     /// Returns the interval at which this entry can send requests of \p promptTokens to the
     /// endpoints of the region: the time that all endpoints together need for one such
     /// request, times the number of entries that share them.
-    Duration workPerRequest(absl::string_view service, std::int64_t promptTokens, TimePoint now) const;
+    Duration requestInterval(absl::string_view service, std::int64_t promptTokens, TimePoint now) const;
     /// Returns for each region how many endpoints accept requests for \p service.
     std::map<std::string, std::size_t> usableByRegion(absl::string_view service, TimePoint now) const;
     /// Returns the region where \p sharedSegment was used last or, if it isn't eligible, the
     /// region of the endpoint that owns the segment. Considers the usable endpoints in
     /// \p regions, or in all regions if that is empty; returns nothing if there are none.
-    std::optional<std::string> regionOfPart(absl::string_view service, absl::string_view sharedSegment, const std::vector<std::string>& regions, TimePoint now) const;
+    std::optional<std::string> regionOfSegment(absl::string_view service, absl::string_view sharedSegment, const std::vector<std::string>& regions, TimePoint now) const;
     std::size_t size() const { return m_endpoints.size(); }
     /// Calls \p visit with each endpoint of every region.
     void forEach(const std::function<void(RoutedEndpoint&)>& visit) const;
     /// Sets a function that is called with each start that a later one has replaced, before
     /// the attempts in flight there are aborted.
-    void onReplaced(std::function<void(RoutedEndpoint&)> observer) { m_replacedObserver = std::move(observer); }
+    void setReplacedObserver(std::function<void(RoutedEndpoint&)> observer) { m_replacedObserver = std::move(observer); }
 
 private:
     using Endpoints = std::vector<std::shared_ptr<RoutedEndpoint>>;
@@ -231,13 +231,13 @@
     absl::flat_hash_map<std::string, std::shared_ptr<RoutedEndpoint>> m_endpoints;
     absl::flat_hash_map<std::string, Endpoints> m_endpointsByService;
     /// Response times of each service, shared by its endpoints.
-    absl::flat_hash_map<std::string, std::shared_ptr<AnswerTimes>> m_serviceTimes;
+    absl::flat_hash_map<std::string, std::shared_ptr<ResponseTimes>> m_serviceTimes;
     std::set<std::string> m_evacuatedZones;
     std::vector<std::string> m_entriesOfRegion;
     std::string m_ownName;
     PeerLoads m_peerLoads;
-    PartHolders m_segmentHolders;
-    PartRegions m_segmentRegions;
+    SegmentHolders m_segmentHolders;
+    SegmentRegions m_segmentRegions;
     std::vector<PartSent> m_segmentsSent;
     SharedRate m_coldTolerance { 0, 1.5, 3 };
     /// Start times of removed endpoints, by their names.
--- a/include/catkinwing/Ingress/EntryRegistration.h
+++ b/include/catkinwing/Ingress/EntryRegistration.h
@@ -14,7 +14,7 @@
     std::string value;
     /// The store deletes the key this long after the last renewal of the lease.
     std::chrono::milliseconds timeToLive { 4'000 };
-    std::chrono::milliseconds renewEvery { 1'000 };
+    std::chrono::milliseconds renewInterval { 1'000 };
     /// First delay after a failure. Each further failure doubles it, up to maxRetryDelay.
     std::chrono::milliseconds firstRetryDelay { 400 };
     std::chrono::milliseconds maxRetryDelay { 1'600 };
@@ -22,7 +22,7 @@
 
 /// Keeps a key in the store under a lease while this process runs. The class doesn't poll
 /// whether the key still exists, since each check would cost a call to the store; the
-/// caller, which watches the key, reports its deletion by noteVanished().
+/// caller, which watches the key, reports its deletion by recordKeyDeleted().
 class EntryRegistration {
 public:
     /// \p store and \p scheduler must outlive the registration.
@@ -36,7 +36,7 @@
     /// Revokes the lease, which deletes the key.
     void stop();
     /// Registers again after the key was deleted, even if the lease is still valid.
-    void noteVanished();
+    void recordKeyDeleted();
     bool isRegistered() const;
     const std::string& key() const;
 
--- a/include/catkinwing/Ingress/EntryTable.h
+++ b/include/catkinwing/Ingress/EntryTable.h
@@ -20,9 +20,9 @@
     std::string region;
     std::string availabilityZone;
     /// Address at which the entry serves clients.
-    SocketAddress clients;
+    SocketAddress clientAddress;
     /// Address at which the entry serves other entries.
-    SocketAddress peers;
+    SocketAddress peerAddress;
 };
 
 /// Returns the text of a registration. The owner of the lease may append to it behind a '#'.
@@ -37,7 +37,7 @@
     void put(const std::string& key, EntryRecord record);
     void remove(const std::string& key, TimePoint now);
     /// Records that the registration disappeared during an outage of the store.
-    void noteMissing(const std::string& key);
+    void recordMissing(const std::string& key);
     /// Removes all missing entries. Called when entries that are still running have had the
     /// time to register again.
     void removeMissing(TimePoint now);
@@ -60,12 +60,12 @@
     /// dropped its registration.
     std::optional<SocketAddress> chooseDepartedPeer(const std::string& region, TimePoint now, Random& random) const;
     /// Returns the addresses of the other entries of \p region.
-    std::vector<SocketAddress> peersOf(const std::string& region) const;
+    std::vector<SocketAddress> peerAddresses(const std::string& region) const;
     /// Returns the regions that have entries, except for this entry's region.
     std::vector<std::string> otherRegions() const;
-    /// Records that \p peer did not answer; choosePeer() and relay() skip it for a while.
-    void notePeerFailure(const SocketAddress& peer, TimePoint now);
-    void notePeerAnswered(const SocketAddress& peer) { m_suspectUntil.erase(peer); }
+    /// Records that \p peer did not answer; choosePeer() and relayAddress() skip it for a while.
+    void recordPeerFailure(const SocketAddress& peer, TimePoint now);
+    void recordPeerResponse(const SocketAddress& peer) { m_suspectUntil.erase(peer); }
 
     /// Returns the keys of the entries of \p region, one for each address.
     std::vector<std::string> keysOfRegion(const std::string& region) const;
@@ -83,21 +83,21 @@
         SocketAddress address;
     };
     /// Returns the other entries of all regions, one for each address.
-    std::vector<Neighbor> others() const;
+    std::vector<Neighbor> otherEntries() const;
     /// Returns this entry's rank among the entries of \p regions, or of all regions if that
     /// is empty, in an order that differs from subject to subject.
     EntryOrder orderFor(std::uint64_t subject, const std::vector<std::string>& regions) const;
     /// Returns the address of the entry that watches the store on behalf of the other entries
     /// of this zone; nothing if it is this entry, whose key is \p self, or if there is no
     /// candidate.
-    std::optional<SocketAddress> relay(const std::string& self, TimePoint now) const;
+    std::optional<SocketAddress> relayAddress(const std::string& self, TimePoint now) const;
     std::size_t size() const { return m_entries.size(); }
     /// Returns the maximum number of entry addresses that were registered at once in the last
     /// ten minutes. During a network partition, or while registrations expire, some entries
     /// still serve requests although they are no longer listed.
-    std::size_t recentSize(TimePoint now);
+    std::size_t recentMaxAddresses(TimePoint now);
     /// Returns a counter that increases whenever an entry is registered or removed.
-    std::uint64_t changes() const { return m_changeCount; }
+    std::uint64_t changeCount() const { return m_changeCount; }
 
 private:
     struct Entry {
--- a/include/catkinwing/Ingress/IngressParts.h
+++ b/include/catkinwing/Ingress/IngressContext.h
@@ -9,7 +9,7 @@
 #include "catkinwing/Membership/CrashingRequests.h"
 #include "catkinwing/Reporting/DecisionLog.h"
 #include "catkinwing/Reporting/Metrics.h"
-#include "catkinwing/Routing/RegionPressure.h"
+#include "catkinwing/Routing/RegionAcceptance.h"
 #include "catkinwing/Routing/StreamLength.h"
 #include "catkinwing/Support/Scheduler.h"
 #include <absl/container/flat_hash_map.h>
@@ -31,13 +31,13 @@
 /// Times of the planned stop of an entry.
 struct PlannedStop {
     /// When the entry began to stop.
-    TimePoint began;
+    TimePoint startedAt;
     /// Requests that are unanswered at this time are aborted.
-    TimePoint endsBy;
+    TimePoint abortAt;
 };
 
 /// State shared by the requests of one entry. All references outlive the requests.
-struct IngressParts {
+struct IngressContext {
     Scheduler& scheduler;
     Random& random;
     HttpClient& endpointClient;
@@ -52,23 +52,23 @@
     /// This entry's share of the retry budget, by service.
     absl::flat_hash_map<std::string, RetryWindow> retryBudgets;
     /// Acceptance of each region, by service.
-    absl::flat_hash_map<std::string, RegionPressure> regionAcceptances;
+    absl::flat_hash_map<std::string, RegionAcceptance> regionAcceptances;
     /// Load reported by other regions.
     RegionOutlooks outlooks;
     /// Estimates of the number of events in a stream, by route.
     absl::flat_hash_map<std::string, StreamLength> streamLengths;
     /// Schedules that assign retry-after times to refused requests, by service.
-    absl::flat_hash_map<std::string, ReturnSchedule> retryAfterSchedules;
+    absl::flat_hash_map<std::string, RetryAfterSchedule> retryAfterSchedules;
     /// The configuration in force; null until the first one is received.
     std::shared_ptr<const RouteTable> routes;
     /// Set when the entry begins to stop.
-    std::optional<PlannedStop> stop;
+    std::optional<PlannedStop> plannedStop;
     /// Number of requests that have no final answer yet.
-    std::size_t openRequests { 0 };
+    std::size_t openRequestCount { 0 };
     /// Number of the latest attempt of any request; attempts are numbered from 1.
     std::uint64_t lastAttemptNumber { 0 };
     /// Requests that crash endpoints or are suspected to.
-    CrashingRequests crashing {};
+    CrashingRequests crashingRequests {};
     /// When this entry's process started.
     TimePoint startedAt {};
 
--- a/include/catkinwing/Ingress/LoadExchange.h
+++ b/include/catkinwing/Ingress/LoadExchange.h
@@ -25,8 +25,8 @@
     /// Returns the datagrams to send now. Must be called ten times a second. \p key is
     /// the registration key of this entry.
     std::vector<OutgoingDatagram> tick(const std::string& key, TimePoint now);
-    void takeReport(LoadReport report, TimePoint now);
-    void takeDigest(LoadDigest digest, TimePoint now);
+    void handleReport(LoadReport report, TimePoint now);
+    void handleDigest(LoadDigest digest, TimePoint now);
     std::uint64_t sequence() const { return m_sequence; }
 
 private:
--- a/include/catkinwing/Ingress/PeerLoads.h
+++ b/include/catkinwing/Ingress/PeerLoads.h
@@ -13,19 +13,19 @@
 public:
     /// Replaces the last report of the same entry. Ignores a report that arrives after a
     /// later one of the same entry.
-    void take(LoadReport report, TimePoint now);
+    void update(LoadReport report, TimePoint now);
     /// Removes reports that are older than their lifetime.
     void expire(TimePoint now);
     /// Returns the sum over all entries for one endpoint. \p endpoint is the hash of its
     /// incarnation.
-    EndpointWorkload at(std::uint32_t endpoint) const;
+    EndpointWorkload sumFor(std::uint32_t endpoint) const;
     /// Returns the sequence number that follows the last report of \p entry, or 1 if there
     /// is none.
     std::uint64_t nextSequence(const std::string& entry) const;
     /// Returns the sums of all endpoints that occur in a report.
     std::vector<EndpointWorkload> all() const;
     /// Returns the number of entries with a report, as of the last call of expire().
-    std::size_t entries() const { return m_reports.size(); }
+    std::size_t entryCount() const { return m_reports.size(); }
 
 private:
     struct ReceivedReport {
--- a/include/catkinwing/Ingress/RegionOutlooks.h
+++ b/include/catkinwing/Ingress/RegionOutlooks.h
@@ -14,12 +14,12 @@
 public:
     /// Records the outlooks of \p report. Ignores a report that arrives after a later one
     /// of the same entry.
-    void take(const RegionReport& report, TimePoint now);
+    void update(const RegionReport& report, TimePoint now);
     /// Counts a request with \p tokens prompt tokens that is forwarded to \p region.
-    void noteSent(const std::string& region, absl::string_view service, std::int64_t tokens, TimePoint now);
+    void recordSent(const std::string& region, absl::string_view service, std::int64_t tokens, TimePoint now);
     /// Returns how long a request is expected to wait in \p region, or std::nullopt if
     /// there is no recent report.
-    std::optional<Duration> waitIn(const std::string& region, absl::string_view service, TimePoint now) const;
+    std::optional<Duration> estimatedWait(const std::string& region, absl::string_view service, TimePoint now) const;
     /// Returns the time between two events of a stream in \p region as last reported;
     /// zero if unknown.
     Duration timePerEventIn(const std::string& region, absl::string_view service) const;
--- a/include/catkinwing/Ingress/RelayedStore.h
+++ b/include/catkinwing/Ingress/RelayedStore.h
@@ -55,10 +55,10 @@
     /// Refuses all waiting and later requests for changes.
     void stopRelaying();
     /// Returns whether this entry watches the store directly.
-    bool isDirect() const;
+    bool watchesDirectly() const;
     /// Returns how long ago the store confirmed, directly or through a relay, that
     /// this entry's data was complete; nothing before the first confirmation.
-    std::optional<Duration> age() const;
+    std::optional<Duration> dataAge() const;
 
 private:
     struct Impl;
--- a/include/catkinwing/Ingress/RoutedRun.h
+++ b/include/catkinwing/Ingress/RoutedRun.h
@@ -2,9 +2,9 @@
 
 #include "catkinwing/Dispatch/EventCursor.h"
 #include "catkinwing/Http/HttpServer.h"
-#include "catkinwing/Ingress/IngressParts.h"
+#include "catkinwing/Ingress/IngressContext.h"
 #include "catkinwing/Ingress/RunDecisions.h"
-#include "catkinwing/Routing/PartRegionChoice.h"
+#include "catkinwing/Routing/SegmentRegionChoice.h"
 #include "catkinwing/Support/RequestFingerprint.h"
 
 namespace catkinwing {
@@ -38,7 +38,7 @@
 /// holds a reference to itself until then.
 class RoutedRun : public std::enable_shared_from_this<RoutedRun> {
 public:
-    RoutedRun(IngressParts& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder);
+    RoutedRun(IngressContext& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder);
     ~RoutedRun();
     RoutedRun(const RoutedRun&) = delete;
     RoutedRun& operator=(const RoutedRun&) = delete;
@@ -69,7 +69,7 @@
         std::shared_ptr<HttpExchange> exchange;
         TimePoint startedAt {};
         absl::optional<HttpResponseHead> head;
-        AnswerFacts facts;
+        ResponseFacts facts;
         /// Outcome stated by the entry that the request was forwarded to.
         absl::optional<Outcome> reportedOutcome;
         /// Number of attempts at endpoints reported by the entry that the request was
@@ -98,11 +98,11 @@
     void recordCrashEvidence(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict);
     /// Returns the largest prompt segment that the request shares with others, or
     /// null if it is too short to affect routing.
-    const PromptPart* sharedSegment() const;
-    EndpointDemand demandFor(const PromptPart& segment) const;
-    std::vector<PartRegionOption> regionOptionsFor(const PromptPart& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const;
+    const PromptSegment* sharedSegment() const;
+    EndpointDemand demandFor(const PromptSegment& segment) const;
+    std::vector<SegmentRegionOption> regionOptionsFor(const PromptSegment& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const;
     const std::string& pickService() const;
-    WaitDemand waitDemand() const;
+    WaitLimitInputs waitDemand() const;
 
     void dispatch();
     bool sendToEndpoint(const std::string& service, bool mayBeTried);
@@ -111,7 +111,7 @@
     bool sendToEntryIn(const std::string& region, const char* why);
     std::map<std::string, std::size_t> untriedRegions(const std::string& service) const;
     std::map<std::string, std::size_t> regionsWithCapacity(const std::string& service) const;
-    RegionPressure& regionAcceptance() const { return m_parts.regionAcceptances[m_service]; }
+    RegionAcceptance& regionAcceptance() const { return m_parts.regionAcceptances[m_service]; }
     bool forwardIfOverloaded();
     /// Forwards or refuses the first attempt by the load that the regions report.
     /// Returns false if the request has been neither forwarded nor refused.
@@ -125,7 +125,7 @@
     std::chrono::milliseconds retryAfter() const;
     void startAttempt(Attempt attempt, HttpClientRequest request);
     void registerFailureCallback();
-    void onEndpointFailure(GiveUpReason reason);
+    void onEndpointFailure(AbortReason reason);
     RunProgress progress();
     RetryOrder retryOrder() const;
     HttpClientRequest makeRequest(const SocketAddress& server, AttemptFacts facts) const;
@@ -155,7 +155,7 @@
     void onClientClosed();
     void finish(int status, const char* outcome, const char* reason);
 
-    IngressParts& m_parts;
+    IngressContext& m_parts;
     RoutedRequest m_request;
     std::shared_ptr<HttpResponder> m_responder;
     std::shared_ptr<const RouteTable> m_routes;
--- a/include/catkinwing/Ingress/RunDecisions.h
+++ b/include/catkinwing/Ingress/RunDecisions.h
@@ -24,7 +24,7 @@
     bool mayHaveReached { false };
     /// A response head was received.
     bool hasHead { false };
-    AnswerFacts answer;
+    ResponseFacts answer;
     /// The answer carries the ID of the request.
     bool isForThisRequest { false };
     /// Outcome stated by another entry; set only if that entry made the answer itself.
--- a/include/catkinwing/Membership/CrashingRequests.h
+++ b/include/catkinwing/Membership/CrashingRequests.h
@@ -28,21 +28,21 @@
     /// Records that the connection to \p endpoint broke while it ran the request, \p ranFor
     /// after the request was sent. This counts as a crash of the endpoint unless data from
     /// it is received again. Only entries of \p regions may be notified, or all if empty.
-    void noteBroken(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor = {});
+    void recordBrokenConnection(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor = {});
     /// Records that data from the endpoint was received.
-    void noteAlive(std::uint32_t endpoint, TimePoint now);
+    void recordEndpointAlive(std::uint32_t endpoint, TimePoint now);
     /// Records that the endpoint refuses connections, or that another one has its address.
-    void noteGone(std::uint32_t endpoint, TimePoint now);
+    void recordEndpointUnreachable(std::uint32_t endpoint, TimePoint now);
     /// Records that an endpoint answered the request.
-    void noteSurvived(const RequestFingerprint& request, TimePoint now);
+    void recordSurvival(const RequestFingerprint& request, TimePoint now);
     /// Returns the time for which the request is still refused, or none.
-    std::optional<Duration> refusedFor(const RequestFingerprint& request, TimePoint now) const;
+    std::optional<Duration> remainingRefusal(const RequestFingerprint& request, TimePoint now) const;
     /// The latest crash during an attempt of a request.
     struct RecentCrash {
         TimePoint at {};
         /// True if the crash is the only one and no other entry has reported one. Then the
         /// request probably just ran on the endpoint that another request crashed.
-        bool isOnlyOwn { true };
+        bool isOnlyKnownHere { true };
         /// Regions whose entries may be notified of the crash; all if empty.
         std::vector<std::uint32_t> notifiableRegions {};
     };
@@ -52,33 +52,33 @@
     /// Returns when this entry may send the request. Entries take turns in \p order, so
     /// that only one attempt of the same request runs at a time until it is known whether
     /// the request caused the crash.
-    TimePoint turnOf(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const;
+    TimePoint nextTurn(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const;
     /// Records that a request is sent for which crashToAwait() returned a crash.
-    void noteTried(const RequestFingerprint& request, TimePoint now) { m_tried[request] = now; }
+    void recordAttempt(const RequestFingerprint& request, TimePoint now) { m_tried[request] = now; }
 
     /// Merges a notice of another entry.
-    void take(const CrashNotice& notice, TimePoint now);
+    void mergeNotice(const CrashNotice& notice, TimePoint now);
     /// Decides whether broken connections were crashes, and removes expired state. To be
     /// called several times a second.
-    void houseKeep(TimePoint now);
+    void settleAndExpire(TimePoint now);
     /// Returns broken connections, and answers that show that the request caused no crash,
     /// since the last call. Other entries may receive the same request before the crash is
     /// settled.
-    std::vector<CrashNotice> takeUrgent(TimePoint now);
-    /// Sets the callback for the first notice that takeUrgent() has to return.
-    void onUrgent(std::function<void()> callback) { m_onUrgent = std::move(callback); }
+    std::vector<CrashNotice> takeUrgentNotices(TimePoint now);
+    /// Sets the callback for the first notice that takeUrgentNotices() has to return.
+    void setUrgentCallback(std::function<void()> callback) { m_onUrgent = std::move(callback); }
     /// Returns crashes settled since the last call, for the entries that count crashes.
-    std::vector<CrashNotice> takeSettled() { return std::exchange(m_settled, {}); }
+    std::vector<CrashNotice> takeSettledNotices() { return std::exchange(m_settled, {}); }
     /// Returns the changed histories of suspect requests: those with several separate
     /// crashes, a refusal or an answer. Each change is returned by several calls.
-    std::vector<CrashNotice> takeNews(TimePoint now);
+    std::vector<CrashNotice> takeChangedNotices(TimePoint now);
     /// Returns the histories of all suspect requests.
-    std::vector<CrashNotice> suspects(TimePoint now) const;
+    std::vector<CrashNotice> suspectNotices(TimePoint now) const;
     /// Returns the number of requests that are refused at \p now.
-    std::size_t refused(TimePoint now) const;
+    std::size_t refusedCount(TimePoint now) const;
     std::size_t size() const { return m_known.size(); }
     /// Returns the number of requests that are recorded as answered.
-    std::size_t answered() const { return m_answered.size(); }
+    std::size_t answeredCount() const { return m_answered.size(); }
 
 private:
     /// A broken connection of which it isn't yet decided (settled) whether the endpoint
@@ -106,7 +106,7 @@
     struct TrackedRequest {
         CrashHistory history;
         std::vector<std::uint32_t> notifiableRegions;
-        /// Number of calls of takeNews() that still return the history.
+        /// Number of calls of takeChangedNotices() that still return the history.
         unsigned reportsLeft { 0 };
     };
 
--- a/include/catkinwing/Membership/FailureDetection.h
+++ b/include/catkinwing/Membership/FailureDetection.h
@@ -12,7 +12,7 @@
 
 /// Returns the state of a member from which no message was received for \p silence;
 /// \p interval is the time between exchanges.
-MemberState judgeSilence(const MembershipOptions& options, Duration silence, Duration interval);
+MemberState stateAfterSilence(const MembershipOptions& options, Duration silence, Duration interval);
 
 /// Returns the time between exchanges with a zone of \p zoneRegion for an entry of
 /// \p ownRegion.
--- a/include/catkinwing/Membership/Membership.h
+++ b/include/catkinwing/Membership/Membership.h
@@ -14,7 +14,7 @@
     /// The process was paused for about \p span. The Membership has already
     /// discarded its views and handles nothing else before this callback returns;
     /// the callback must drop the leases.
-    std::function<void(Duration span)> onFrozen;
+    std::function<void(Duration span)> onPaused;
     /// The view changed in a way that routing or forwarding may depend on.
     std::function<void()> onViewChanged;
     /// The state of a member of the zone changed; meant for logs.
@@ -58,13 +58,13 @@
     /// Adds addresses to probe, such as seeds or the directory's list. Addresses of
     /// members in use are skipped. An address is removed after
     /// MembershipOptions::forgetAfter unless it is added again.
-    void learn(const std::vector<Candidate>& candidates);
+    void addCandidates(const std::vector<Candidate>& candidates);
     /// Replaces the state that is sent to the other entries.
     void setLocalState(LocalState state);
     /// Marks this entry as draining and announces it immediately.
     void startDraining();
     /// Announces immediately that this entry exits; nothing is sent afterwards.
-    void announceGone();
+    void announceExit();
     /// Announces immediately that an endpoint is leaving.
     void reportLeaving(const EndpointLeaving& endpoint);
     /// Handles a message and returns the reply, or none if the message type is not
@@ -73,7 +73,7 @@
 
     /// Detects and reports a pause of the process. The timer, the message handlers
     /// and view() call it; callers must also call it before acting on a lease.
-    void checkFrozen();
+    void checkForPause();
     /// Returns the current view. The reference stays valid, but any later call on this
     /// object may change the view.
     const MembershipView& view();
--- a/include/catkinwing/Membership/MembershipOptions.h
+++ b/include/catkinwing/Membership/MembershipOptions.h
@@ -25,7 +25,7 @@
     /// Exchange intervals without an acknowledgement after which a member is assumed
     /// not to receive this entry's messages. Two intervals may pass in normal
     /// operation, since a reply is acknowledged only by the next request.
-    std::uint32_t deafAfterIntervals { 3 };
+    std::uint32_t unacknowledgedAfterIntervals { 3 };
     /// Consecutive failed exchanges after which a member gets no new work.
     std::uint32_t unusableAfterFailures { 2 };
     /// Delay before a failed exchange or announcement is retried.
--- a/include/catkinwing/Membership/MembershipView.h
+++ b/include/catkinwing/Membership/MembershipView.h
@@ -21,11 +21,11 @@
     bool draining { false };
     /// False if the member has not acknowledged this entry's messages recently, or if
     /// the latest exchanges with the member failed.
-    bool hearsUs { false };
+    bool receivesOurMessages { false };
     /// Time at which the member's latest message was received.
-    TimePoint heardAt {};
+    TimePoint lastReceivedAt {};
     /// Number of process pauses that the member reported in this run.
-    std::uint32_t freezes { 0 };
+    std::uint32_t pauses { 0 };
     /// Hash of the configuration that the member has in force.
     std::uint64_t configDigest { 0 };
     /// Demand of the member by endpoint group.
@@ -34,7 +34,7 @@
     std::vector<EndpointLoad> load;
 
     /// Returns whether new work may be routed or forwarded to the member.
-    bool isUsable() const { return state == MemberState::Live && hearsUs && !draining; }
+    bool isUsable() const { return state == MemberState::Live && receivesOurMessages && !draining; }
 };
 
 /// Another availability zone.
@@ -108,7 +108,7 @@
     std::uint64_t oldIncarnationsRefused { 0 };
     std::uint64_t membersSuspected { 0 };
     std::uint64_t membersDied { 0 };
-    std::uint64_t freezes { 0 };
+    std::uint64_t pauses { 0 };
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/CallerSteering.h
+++ b/include/catkinwing/Routing/CallerSteering.h
@@ -23,7 +23,7 @@
     /// Round-trip time from the entry that answers the caller's query.
     Duration roundTripTime { 0 };
     /// When the entry started or became reachable again.
-    TimePoint since {};
+    TimePoint availableSince {};
 };
 
 /// Inputs that determine the order of entries for a caller.
@@ -48,7 +48,7 @@
 /// added or removed; without one, those in the caller's zone come first. Entries
 /// of other regions follow by round-trip time. Entries that don't serve the model
 /// come last, since they would have to forward the request.
-std::vector<std::size_t> steerCallers(const SteeringRequest& request, absl::Span<const EntryView> entries, const SlowStartPolicy& slowStart, TimePoint now);
+std::vector<std::size_t> rankEntries(const SteeringRequest& request, absl::Span<const EntryView> entries, const SlowStartPolicy& slowStart, TimePoint now);
 
 /// Returns the weighted rendezvous-hash score of \p node for \p key. The node
 /// with the highest score owns the key.
--- a/include/catkinwing/Routing/CellView.h
+++ b/include/catkinwing/Routing/CellView.h
@@ -56,7 +56,7 @@
     /// Cheaper than modify, since these events are frequent.
     void recordDispatch(EndpointHandle handle, double prefillTokens, TimePoint now);
     void recordFirstToken(EndpointHandle handle, double prefillTokens);
-    void recordSettled(EndpointHandle handle, TimePoint now);
+    void recordRequestEnded(EndpointHandle handle, TimePoint now);
     void recordReport(EndpointHandle handle, const EndpointLoadReport& report);
 
 private:
--- a/include/catkinwing/Routing/EndpointChoice.h
+++ b/include/catkinwing/Routing/EndpointChoice.h
@@ -15,7 +15,7 @@
     /// Requests without a complete response.
     double requests { 0 };
     /// Thousands of prompt tokens that are not prefilled yet.
-    double unreadKilotokens { 0 };
+    double unprefilledKilotokens { 0 };
 };
 
 /// An endpoint that is eligible for a request.
@@ -35,23 +35,23 @@
     /// only for its shared prompt segment.
     bool isTooBusy { false };
     /// Whether the endpoint probably caches the request's shared prompt segment.
-    bool holdsPart { false };
+    bool cachesSegment { false };
 };
 
 /// Properties of the request that affect the choice.
 struct EndpointDemand {
     /// Identifies the shared prompt segment; empty if there is none that is worth
     /// reusing.
-    std::string sharedPart;
+    std::string sharedSegment;
     /// Time to prefill the shared segment again.
-    Duration readingAgain { 0 };
+    Duration prefillTime { 0 };
     /// Maximum wait of the request.
-    Duration longestWait { Duration::max() };
+    Duration maxWait { Duration::max() };
 };
 
 /// Returns the maximum wait of a request for the endpoint that owns its shared
 /// segment. The time saved by not prefilling the segment again extends it.
-Duration longestWaitForOwner(const EndpointDemand& demand);
+Duration maxWaitForOwner(const EndpointDemand& demand);
 
 /// Returns the rendezvous-hash score of an endpoint for a shared segment. The
 /// endpoint with the highest score owns the segment. The score is the same in
--- a/include/catkinwing/Routing/EndpointLifecycle.h
+++ b/include/catkinwing/Routing/EndpointLifecycle.h
@@ -17,7 +17,7 @@
 };
 
 /// A report about the state of an endpoint.
-struct LifecycleSign {
+struct LifecycleReport {
     /// Name of the endpoint; a new instance may take over the name.
     std::string endpoint;
     /// Incarnation to which the report applies.
@@ -52,7 +52,7 @@
 public:
     /// Records one report. A report about a replaced incarnation doesn't change the
     /// present one, unless it comes from the endpoint itself.
-    LifecycleChange record(const LifecycleSign& report, TimePoint now);
+    LifecycleChange record(const LifecycleReport& report, TimePoint now);
     /// Returns the state of the present incarnation of \p endpoint, or null if
     /// the endpoint is unknown.
     const LifecycleStatus* status(absl::string_view endpoint) const;
@@ -71,7 +71,7 @@
         std::vector<LifecycleStatus> replaced;
     };
 
-    LifecycleChange recordOtherIncarnation(TrackedEndpoint& tracked, const LifecycleSign& report, TimePoint now) const;
+    LifecycleChange recordOtherIncarnation(TrackedEndpoint& tracked, const LifecycleReport& report, TimePoint now) const;
 
     absl::flat_hash_map<std::string, TrackedEndpoint> m_endpoints;
 };
--- a/include/catkinwing/Routing/EndpointView.h
+++ b/include/catkinwing/Routing/EndpointView.h
@@ -96,7 +96,7 @@
 unsigned inFlightLimit(const EndpointView& endpoint);
 
 /// Returns whether this entry may send one more request to \p endpoint now.
-bool isOpen(const EndpointView& endpoint);
+bool acceptsRequest(const EndpointView& endpoint);
 
 /// Returns the tokens that remain in \p backlog at \p now if it drains at
 /// \p tokensPerSecond.
@@ -110,7 +110,7 @@
 void recordFirstToken(EndpointView& endpoint, double prefillTokens);
 
 /// Records that a request of this entry ended at \p now, whatever its outcome.
-void recordSettled(EndpointView& endpoint, TimePoint now);
+void recordRequestEnded(EndpointView& endpoint, TimePoint now);
 
 /// Records \p report unless it is older than the present one. Adds the requests
 /// that this entry sent after the report was measured.
@@ -128,11 +128,11 @@
     Duration decodeTime { 0 };
     /// Time from dispatch to the last token; zero leaves the mean duration
     /// unchanged.
-    Duration total { 0 };
+    Duration requestDuration { 0 };
 };
 
 /// Updates the estimated speeds and request duration of \p endpoint from
 /// \p sample.
-void learnSpeeds(EndpointView& endpoint, const ServiceSample& sample);
+void updateSpeeds(EndpointView& endpoint, const ServiceSample& sample);
 
 } // namespace catkinwing
--- a/include/catkinwing/Routing/Forwarding.h
+++ b/include/catkinwing/Routing/Forwarding.h
@@ -135,7 +135,7 @@
 void recordRouted(ForwardState& state, const ForwardPolicy& policy, bool toOtherRegion, TimePoint now);
 
 /// Returns the share of requests forwarded to other regions, 0 to 1.
-double shareSentAway(const ForwardState& state);
+double crossRegionShare(const ForwardState& state);
 
 /// Records in \p cell one forward of a request for \p model by this entry.
 void recordForward(RemoteCellView& cell, absl::string_view model);
--- a/include/catkinwing/Routing/Hedging.h
+++ b/include/catkinwing/Routing/Hedging.h
@@ -48,14 +48,14 @@
     Duration elapsed { 0 };
     /// Measured wait for the first token of requests of this kind, at
     /// HedgePolicy::quantile. Empty while there are too few samples.
-    std::optional<Duration> learnedWait;
+    std::optional<Duration> waitQuantile;
     /// True if the cell's retry budget allows another attempt.
     bool budgetAvailable { false };
     /// Time until the caller's deadline, if known.
     std::optional<Duration> timeLeft;
     /// Predicted time to first token of the second attempt. Empty if no other
     /// endpoint is available.
-    std::optional<Duration> secondPrediction;
+    std::optional<Duration> secondAttemptPrediction;
 };
 
 /// Whether to hedge, or the reason not to.
--- a/include/catkinwing/Routing/PrefixIndex.h
+++ b/include/catkinwing/Routing/PrefixIndex.h
@@ -82,7 +82,7 @@
     /// Sets the endpoint's incarnation. A change discards its recorded blocks.
     void setIncarnation(EndpointHandle endpoint, absl::string_view incarnation);
     /// Removes an endpoint, so that its handle may be reused.
-    void forget(EndpointHandle endpoint);
+    void remove(EndpointHandle endpoint);
 
     /// Returns each endpoint that is expected to have a prefix of the prompt
     /// cached, with the expected number of tokens, in unspecified order.
--- a/include/catkinwing/Routing/RegionChoice.h
+++ b/include/catkinwing/Routing/RegionChoice.h
@@ -15,7 +15,7 @@
     std::optional<Duration> wait;
     /// Network delay to the region. The delay occupies no capacity, so it affects
     /// the choice of the region but is not compared with the maximum wait.
-    Duration way { 0 };
+    Duration networkDelay { 0 };
     /// Predicted duration of the response there, from its first byte.
     Duration responseDuration { 0 };
 };
@@ -24,28 +24,28 @@
 struct RegionDemand {
     /// Predicted wait in the local region; nothing if unknown or if no local
     /// endpoint accepts the request.
-    std::optional<Duration> waitHere;
+    std::optional<Duration> localWait;
     /// Predicted duration of the response here, from its first byte.
-    Duration lastsHere { 0 };
+    Duration localResponseDuration { 0 };
     /// Whether local endpoints may accept the request, even if the wait is
     /// unknown.
-    bool mayAskHere { false };
+    bool mayAcceptLocally { false };
     /// Maximum wait for an endpoint, in any region.
-    Duration longestWait { 0 };
+    Duration maxWait { 0 };
 };
 
 enum class RegionVerdict {
-    Here,
+    Local,
     /// Forward to the region named in the choice.
-    Away,
+    Forward,
     /// The wait exceeds the maximum in every region.
-    Nowhere,
+    Refuse,
     /// Some waits are unknown, so the endpoints and regions have to be queried.
-    Ask,
+    Query,
 };
 
 struct RegionChoice {
-    RegionVerdict verdict { RegionVerdict::Ask };
+    RegionVerdict verdict { RegionVerdict::Query };
     std::string region;
 };
 
--- a/include/catkinwing/Routing/PartHolders.h
+++ b/include/catkinwing/Routing/SegmentHolders.h
@@ -8,24 +8,24 @@
 namespace catkinwing {
 
 /// Returns the hash that identifies a shared prompt segment.
-std::uint32_t partHash(absl::string_view sharedSegment);
+std::uint32_t segmentHash(absl::string_view sharedSegment);
 
 /// Estimates which endpoints of a region cache which shared prompt segments, from
 /// the prompts that all entries of the region have sent. Endpoints evict the least
 /// recently used segments; a segment therefore counts as cached until later
 /// prompts sent to the endpoint fill the memory available for segments.
-class PartHolders {
+class SegmentHolders {
 public:
-    PartHolders();
+    SegmentHolders();
 
     /// Records that a prompt with \p segment was sent to \p endpoint, which adds
     /// \p kilotokens to its cache.
-    void noteSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens);
+    void recordSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens);
     /// Sets the cache size assumed for every endpoint; zero leaves it unchanged.
-    void setMemory(std::int64_t tokens);
+    void setCacheSize(std::int64_t tokens);
     /// Removes \p endpoint as a holder of \p segment, because it did not run the
     /// request.
-    void forget(std::uint32_t endpoint, std::uint32_t segment);
+    void remove(std::uint32_t endpoint, std::uint32_t segment);
     bool holds(std::uint32_t endpoint, std::uint32_t segment) const;
     std::size_t segmentCount() const { return m_holders.size(); }
 
--- a/include/catkinwing/Routing/PartRegions.h
+++ b/include/catkinwing/Routing/SegmentRegions.h
@@ -13,10 +13,10 @@
 /// but the segment stays cached in the region that prefilled it last. A request
 /// sent to the recorded region doesn't have to prefill the segment again, which
 /// would cost an engine about 0.3 s.
-class PartRegions {
+class SegmentRegions {
 public:
     /// Records that \p segment was sent to the region with the hash \p region.
-    void noteSent(std::uint32_t segment, std::uint32_t region, TimePoint now);
+    void recordSent(std::uint32_t segment, std::uint32_t region, TimePoint now);
     /// Returns the hash of the region that probably caches \p segment. Returns
     /// nothing if the segment is unknown or was last used too long ago.
     std::optional<std::uint32_t> regionOf(std::uint32_t segment, TimePoint now) const;
--- a/include/catkinwing/Routing/StreamLength.h
+++ b/include/catkinwing/Routing/StreamLength.h
@@ -18,7 +18,7 @@
 
 /// Records that the response to a request for at most \p outputTokens (zero if not
 /// stated) had \p events.
-void learnEvents(StreamLength& length, std::int64_t outputTokens, std::size_t events);
+void addEventSample(StreamLength& length, std::int64_t outputTokens, std::size_t events);
 /// Predicts the number of events in the response to a request for at most
 /// \p outputTokens (zero if not stated).
 double predictEvents(const StreamLength& length, std::int64_t outputTokens);
--- a/lib/Admission/AdmissionController.cpp
+++ b/lib/Admission/AdmissionController.cpp
@@ -85,7 +85,7 @@
     decision.refusal = refusalFor(request, now);
     if (decision.refusal)
         return decision;
-    decision.refusal = evictForCapacity(request, now, decision.dropped);
+    decision.refusal = evictForCapacity(request, now, decision.evicted);
     if (decision.refusal)
         return decision;
     TeamState& team = m_teams.at(request.team);
@@ -116,9 +116,9 @@
 {
     auto caller = team.requestsByCaller.find(request.caller);
     bool hasCaller = !request.caller.empty();
-    if (hasCaller && caller != team.requestsByCaller.end() && caller->second >= team.limits.perCaller)
+    if (hasCaller && caller != team.requestsByCaller.end() && caller->second >= team.limits.requestsPerCaller)
         return Refusal { RefusalReason::CallerConcurrency, std::nullopt };
-    if (m_queue.teamSize(request.team) >= team.limits.queued)
+    if (m_queue.teamSize(request.team) >= team.limits.maxQueued)
         return Refusal { RefusalReason::TeamQueueFull, timeToDrain(request, now) };
     if (team.limits.requestsPerSecond <= 0)
         return std::nullopt;
@@ -159,11 +159,11 @@
 
 std::optional<Refusal> AdmissionController::evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& evicted)
 {
-    if (request.bytes > m_limits.queuedBytes)
+    if (request.bytes > m_limits.maxQueuedBytes)
         return Refusal { RefusalReason::QueueBytesFull, std::nullopt };
     for (std::size_t i = 0; i < maxEvictions; ++i) {
-        bool fitsCount = m_queue.size() < m_limits.queuedRequests;
-        if (fitsCount && m_queue.bytes() + request.bytes <= m_limits.queuedBytes)
+        bool fitsCount = m_queue.size() < m_limits.maxQueuedRequests;
+        if (fitsCount && m_queue.bytes() + request.bytes <= m_limits.maxQueuedBytes)
             return std::nullopt;
         std::optional<QueuedRequest> victim = m_queue.evictFor(request, now);
         if (!victim)
@@ -174,7 +174,7 @@
     return Refusal { RefusalReason::QueueBytesFull, timeToDrain(request, now) };
 }
 
-std::optional<QueuedRequest> AdmissionController::next(const CanStart& canStart, TimePoint now)
+std::optional<QueuedRequest> AdmissionController::startNext(const CanStart& canStart, TimePoint now)
 {
     auto mayStartNow = [&](const QueuedRequest& request) {
         auto pool = m_pools.find(request.poolName());
@@ -215,7 +215,7 @@
     return request;
 }
 
-bool AdmissionController::putBack(RequestId id, TimePoint now)
+bool AdmissionController::requeue(RequestId id, TimePoint now)
 {
     QueuedRequest request = removeInFlight(id, 0, now);
     if (m_queue.enqueue(request, now))
@@ -224,7 +224,7 @@
     return false;
 }
 
-void AdmissionController::finished(RequestId id, double actualCost, TimePoint now)
+void AdmissionController::finish(RequestId id, double actualCost, TimePoint now)
 {
     releaseCaller(removeInFlight(id, actualCost, now));
 }
@@ -281,13 +281,13 @@
 void AdmissionController::updateTeamPaused(const std::string& team)
 {
     const TeamState& state = m_teams.at(team);
-    m_queue.setTeamPaused(team, state.inFlight >= state.limits.inFlight);
+    m_queue.setTeamPaused(team, state.inFlight >= state.limits.maxInFlight);
 }
 
 void AdmissionController::recordShortWorkDemand(const std::string& pool, TimePoint now)
 {
     PoolState& state = findOrCreatePool(pool);
-    state.reservation.noteShort(state.shortInFlight, m_queue.waiting(pool, WorkKind::Short), now);
+    state.reservation.recordShortWorkDemand(state.shortInFlight, m_queue.waiting(pool, WorkKind::Short), now);
 }
 
 } // namespace catkinwing
--- a/lib/Admission/FairQueue.cpp
+++ b/lib/Admission/FairQueue.cpp
@@ -320,7 +320,7 @@
 void FairQueue::removeSource(const std::string& source)
 {
     for (auto& [name, pool] : m_state->pools)
-        pool->regionalShares().forget(source);
+        pool->regionalShares().removeSource(source);
 }
 
 std::vector<ServiceCounter> FairQueue::servedCounters() const
--- a/lib/Admission/OutputEstimator.cpp
+++ b/lib/Admission/OutputEstimator.cpp
@@ -37,7 +37,7 @@
     return (weight * prior + entry.responses * entry.mean) / (weight + entry.responses);
 }
 
-void OutputEstimator::learn(const OutputKey& key, double outputTokens)
+void OutputEstimator::recordOutput(const OutputKey& key, double outputTokens)
 {
     auto found = m_index.find(key);
     if (found == m_index.end()) {
--- a/lib/Admission/PoolQueue.cpp
+++ b/lib/Admission/PoolQueue.cpp
@@ -72,7 +72,7 @@
     if (team->maxServedTokens >= 1)
         m_removedServed[name] = team->maxServedTokens;
     m_teamsByName.erase(name);
-    m_regionalShares.forgetTeam(name);
+    m_regionalShares.removeTeam(name);
     // The last team takes the freed index, which is part of its key in the groups'
     // teamsByCounter sets.
     TeamState& last = *m_teams.back();
@@ -305,10 +305,10 @@
 
 void PoolQueue::refresh(TimePoint now)
 {
-    m_regionalShares.prune(now);
+    m_regionalShares.removeExpired(now);
     rebaseCounters();
     double floor = minCounter(now);
-    double compensationSeconds = Seconds(m_policy.creditWindow).count();
+    double compensationSeconds = Seconds(m_policy.maxCompensationTime).count();
     m_backloggedWeight = 0;
     // Idle teams are updated when they have requests again.
     for (const auto& team : m_teams) {
@@ -327,9 +327,9 @@
 double PoolQueue::minCounter(TimePoint now)
 {
     m_virtualTimeHistory.emplace_back(now, m_virtualTime);
-    while (m_virtualTimeHistory.size() > 1 && m_virtualTimeHistory[1].first <= now - m_policy.creditWindow)
+    while (m_virtualTimeHistory.size() > 1 && m_virtualTimeHistory[1].first <= now - m_policy.maxCompensationTime)
         m_virtualTimeHistory.pop_front();
-    bool coversCompensationTime = m_virtualTimeHistory.front().first <= now - m_policy.creditWindow;
+    bool coversCompensationTime = m_virtualTimeHistory.front().first <= now - m_policy.maxCompensationTime;
     return coversCompensationTime ? m_virtualTimeHistory.front().second : std::numeric_limits<double>::lowest();
 }
 
--- a/lib/Admission/RegionalShares.cpp
+++ b/lib/Admission/RegionalShares.cpp
@@ -115,7 +115,7 @@
     last.reportedAt = now;
 }
 
-void RegionalShares::forget(const std::string& source)
+void RegionalShares::removeSource(const std::string& source)
 {
     m_sources.erase(source);
     for (auto& [team, counters] : m_teams)
@@ -123,7 +123,7 @@
     absl::erase_if(m_teams, [](const auto& entry) { return entry.second.empty(); });
 }
 
-void RegionalShares::prune(TimePoint now)
+void RegionalShares::removeExpired(TimePoint now)
 {
     std::vector<std::string> expired;
     for (const auto& [name, source] : m_sources) {
@@ -131,7 +131,7 @@
             expired.push_back(name);
     }
     for (const std::string& name : expired)
-        forget(name);
+        removeSource(name);
 }
 
 RegionalStanding RegionalShares::standing(const std::string& team, const LocalServiceRates& local, TimePoint now) const
@@ -144,11 +144,11 @@
     double remoteCapacity = 0;
     double servingDaemons = 0;
     for (const auto& [name, counter] : found->second) {
-        remoteRate += counter.rate.heldRate(now, m_policy.peerSilence);
-        bool serves = now - counter.servedAt <= m_policy.peerIdle && now - counter.reportedAt <= m_policy.peerSilence;
+        remoteRate += counter.rate.heldRate(now, m_policy.peerReportTimeout);
+        bool serves = now - counter.servedAt <= m_policy.peerIdleTimeout && now - counter.reportedAt <= m_policy.peerReportTimeout;
         if (!serves)
             continue;
-        remoteCapacity += m_sources.at(name).total.heldRate(now, m_policy.peerSilence);
+        remoteCapacity += m_sources.at(name).total.heldRate(now, m_policy.peerReportTimeout);
         ++servingDaemons;
     }
     // A rate below one token per second doesn't count as use of another daemon.
--- a/lib/Admission/RetryWindow.cpp
+++ b/lib/Admission/RetryWindow.cpp
@@ -68,7 +68,7 @@
     return fewest;
 }
 
-void RetryWindow::noteRequest(TimePoint now)
+void RetryWindow::recordRequest(TimePoint now)
 {
     ++stepAt(now).requests;
     ++m_totals.requests;
--- a/lib/Admission/SlotReservation.cpp
+++ b/lib/Admission/SlotReservation.cpp
@@ -41,7 +41,7 @@
 {
 }
 
-void SlotReservation::noteShort(std::size_t inFlight, std::size_t waiting, TimePoint now)
+void SlotReservation::recordShortWorkDemand(std::size_t inFlight, std::size_t waiting, TimePoint now)
 {
     m_demand.record(inFlight + waiting, now, m_policy.decayTime);
 }
--- a/lib/Admission/WaitLimit.cpp
+++ b/lib/Admission/WaitLimit.cpp
@@ -35,7 +35,7 @@
     return std::chrono::duration_cast<Duration>(duration * factor);
 }
 
-Duration longestWait(const WaitDemand& demand, Duration idleFirstByte)
+Duration maxQueueWait(const WaitLimitInputs& demand, Duration idleFirstByte)
 {
     Duration target = demand.latencyTarget > milliseconds::zero() ? demand.latencyTarget : defaultLatencyTarget;
     Duration wait = std::max(scaled(target - idleFirstByte, maxWaitFraction), scaled(target, minWaitFraction));
@@ -45,7 +45,7 @@
     return demand.hasMoreUrgent ? scaled(wait, lessUrgentFraction) : wait;
 }
 
-milliseconds ReturnSchedule::book(Duration work, milliseconds maxDelay, TimePoint now, Random& random)
+milliseconds RetryAfterSchedule::bookRetry(Duration work, milliseconds maxDelay, TimePoint now, Random& random)
 {
     m_next = std::max(m_next, now + minRetryAfter) + scaled(work, 1 / retryCapacityFraction);
     auto wait = std::chrono::duration_cast<milliseconds>(m_next - now);
--- a/lib/Gateway/Daemon.cpp
+++ b/lib/Gateway/Daemon.cpp
@@ -245,7 +245,7 @@
 MembershipEvents Daemon::Impl::membershipEvents()
 {
     MembershipEvents events;
-    events.onFrozen = [this](Duration span) { onFrozen(span); };
+    events.onPaused = [this](Duration span) { onFrozen(span); };
     events.onConfigDiffers = [this](const ConfigPeer& peer) { sync.reconcile(peer); };
     events.onEndpointLeaving = [this](const EndpointLeaving& leaving) { endpoints.applyPeerLeaving(leaving, loop.clock().now()); };
     events.onServedElsewhere = [this](const ServedElsewhere& served) { noteServedElsewhere(served); };
@@ -321,7 +321,7 @@
 
 void Daemon::Impl::everyBrokerTick()
 {
-    membership.checkFrozen();
+    membership.checkForPause();
     broker.tick();
     loop.callAfter(brokerTick, [this] { everyBrokerTick(); });
 }
@@ -356,7 +356,7 @@
         if (address.ok() && instance.id != settings.name)
             candidates.push_back({ *address, instance.zone, instance.region });
     }
-    membership.learn(candidates);
+    membership.addCandidates(candidates);
 }
 
 Instance Daemon::Impl::ownInstance(InstanceState state) const
@@ -423,7 +423,7 @@
     std::vector<Candidate> seeds;
     for (const SocketAddress& seed : settings.peerSeeds)
         seeds.push_back({ seed, "", "" });
-    membership.learn(seeds);
+    membership.addCandidates(seeds);
     membership.start();
     announce(InstanceState::Live);
     for (InstanceList* list : { entryList.get(), endpointList.get() }) {
@@ -488,7 +488,7 @@
     }
     hasDrained = true;
     logChange(LogLevel::Info, "drained", { { "cut_off", callers.openRequests() } });
-    membership.announceGone();
+    membership.announceExit();
     callerServer->stopListening();
     auto done = [this] {
         for (const std::function<void()>& callback : onDrained)
--- a/lib/Gateway/EndpointRegistry.cpp
+++ b/lib/Gateway/EndpointRegistry.cpp
@@ -50,7 +50,7 @@
             continue;
         std::optional<EndpointHandle> handle = m_cell.find(name);
         if (handle)
-            m_prefixes.forget(*handle);
+            m_prefixes.remove(*handle);
         m_cell.remove(name);
         m_outliers.remove(name);
         m_credits.erase(name);
@@ -102,7 +102,7 @@
         m_prefixes.setIncarnation(handle, status->incarnation);
 }
 
-LifecycleChange EndpointRegistry::record(const LifecycleSign& sign, TimePoint now)
+LifecycleChange EndpointRegistry::record(const LifecycleReport& sign, TimePoint now)
 {
     LifecycleChange change = m_lifecycle.record(sign, now);
     if (change == LifecycleChange::None)
@@ -245,7 +245,7 @@
         return;
     if (!use.gotFirstToken)
         m_cell.recordFirstToken(use.endpoint, use.prefillTokens);
-    m_cell.recordSettled(use.endpoint, now);
+    m_cell.recordRequestEnded(use.endpoint, now);
     const EndpointView& view = m_cell.endpoint(use.endpoint);
     EndpointOutcome outcome { view.name, view.models.empty() ? "" : view.models.front(), view.incarnation, use.failed, std::nullopt, use.unreachable };
     bool isMeasured = !use.failed && use.gotFirstToken && use.outputTokens > 1;
@@ -255,7 +255,7 @@
         // The prefill speed is left as stated: the time to the first token has
         // the endpoint's own queue in it, which the prediction adds by itself.
         m_cell.modify(use.endpoint, [&](EndpointView& changed) {
-            learnSpeeds(changed, { 0, Duration::zero(), use.outputTokens - 1, decodeTime, use.total });
+            updateSpeeds(changed, { 0, Duration::zero(), use.outputTokens - 1, decodeTime, use.total });
         });
     }
     m_outliers.record(outcome, now);
--- a/lib/Gateway/EntryDirectory.cpp
+++ b/lib/Gateway/EntryDirectory.cpp
@@ -41,7 +41,7 @@
     own.models = ownModels;
     // Entries are ready as soon as they are known: what ramps up is work, by
     // the slow start of zones and endpoints, not the right to be asked.
-    own.since = now - m_slowStart.window;
+    own.availableSince = now - m_slowStart.window;
     add(m_self, own);
     for (const MemberView& member : view.members) {
         EntryView entry = own;
@@ -54,7 +54,7 @@
     for (const ZoneView& zone : view.zones) {
         EntryView entry;
         entry.reachable = zone.isReachable;
-        entry.since = own.since;
+        entry.availableSince = own.availableSince;
         entry.roundTripTime = zone.region == m_self.region ? Duration::zero() : roundTripToRegion(snapshot, m_self.region, zone.region);
         for (const ModelRoom& room : zone.models)
             entry.models.push_back(room.model);
@@ -74,7 +74,7 @@
     if (request.region.empty())
         request.region = m_self.region;
     std::vector<EntryIdentity> entries;
-    for (std::size_t place : steerCallers(request, m_views, m_slowStart, now))
+    for (std::size_t place : rankEntries(request, m_views, m_slowStart, now))
         entries.push_back(m_identities[place]);
     return entries;
 }
--- a/lib/Gateway/RemoteCells.cpp
+++ b/lib/Gateway/RemoteCells.cpp
@@ -138,7 +138,7 @@
 double RemoteCells::shareAway(const std::string& model) const
 {
     auto state = m_states.find(model);
-    return state == m_states.end() ? 0 : shareSentAway(state->second);
+    return state == m_states.end() ? 0 : crossRegionShare(state->second);
 }
 
 } // namespace catkinwing
--- a/lib/Gateway/RequestBroker.cpp
+++ b/lib/Gateway/RequestBroker.cpp
@@ -32,9 +32,9 @@
     policy.weight = team.share;
     for (const RequestClass& requestClass : team.classes)
         policy.classes.push_back(classPolicy(requestClass));
-    policy.limits.inFlight = static_cast<std::size_t>(team.limits.maximumInFlight);
-    policy.limits.queued = static_cast<std::size_t>(team.limits.maximumQueued);
-    policy.limits.perCaller = static_cast<std::size_t>(team.limits.maximumPerCaller);
+    policy.limits.maxInFlight = static_cast<std::size_t>(team.limits.maximumInFlight);
+    policy.limits.maxQueued = static_cast<std::size_t>(team.limits.maximumQueued);
+    policy.limits.requestsPerCaller = static_cast<std::size_t>(team.limits.maximumPerCaller);
     policy.limits.requestsPerSecond = team.limits.requestsPerSecond.value_or(0);
     policy.limits.burst = std::max(1.0, policy.limits.requestsPerSecond);
     return policy;
@@ -146,7 +146,7 @@
         noteQueued(run->request().routing.model, 1);
         schedulePump();
     }
-    dropAll(decision.dropped);
+    dropAll(decision.evicted);
     if (decision.refusal)
         run->drop(*decision.refusal);
 }
@@ -180,7 +180,7 @@
     TimePoint now = m_parts.scheduler.clock().now();
     const CellView& cell = m_parts.endpoints.cell();
     CanStart canStart = [&cell](const QueuedRequest& request) { return cell.freeCredits(request.model) > 0; };
-    while (std::optional<QueuedRequest> next = m_admission.next(canStart, now)) {
+    while (std::optional<QueuedRequest> next = m_admission.startNext(canStart, now)) {
         auto entry = m_runs.find(next->id);
         assert(entry != m_runs.end() && "a queued request has a run");
         std::shared_ptr<RequestRun> run = entry->second;
@@ -194,7 +194,7 @@
 
 bool RequestBroker::putBack(RequestRun& run)
 {
-    if (!m_admission.putBack(run.id(), m_parts.scheduler.clock().now()))
+    if (!m_admission.requeue(run.id(), m_parts.scheduler.clock().now()))
         return false;
     run.m_isStarted = false;
     run.m_phase = RequestRun::Phase::Waiting;
@@ -212,7 +212,7 @@
 void RequestBroker::retire(RequestRun& run, double actualCost)
 {
     if (run.m_isStarted)
-        m_admission.finished(run.id(), actualCost, m_parts.scheduler.clock().now());
+        m_admission.finish(run.id(), actualCost, m_parts.scheduler.clock().now());
     run.m_isStarted = false;
     m_runs.erase(run.id());
     schedulePump();
@@ -244,8 +244,8 @@
 {
     TimePoint now = m_parts.scheduler.clock().now();
     dropAll(m_admission.expire(now));
-    m_crashing.houseKeep(now);
-    m_crashing.takeSettled();
+    m_crashing.settleAndExpire(now);
+    m_crashing.takeSettledNotices();
     moveStranded();
     for (const std::string& model : m_parts.endpoints.models())
         m_admission.setSlots(model, m_parts.endpoints.slotsOf(model));
--- a/lib/Gateway/RequestRun.cpp
+++ b/lib/Gateway/RequestRun.cpp
@@ -200,7 +200,7 @@
     Attempt& attempt = m_attemptData.at(id);
     attempt.head = head;
     if (attempt.target == AttemptTarget::Endpoint)
-        m_broker.m_crashing.noteAlive(attempt.startHash, nowOf(m_broker));
+        m_broker.m_crashing.recordEndpointAlive(attempt.startHash, nowOf(m_broker));
     attempt.isDeliverable = isDeliverableHead(attempt.target, head);
     const std::string* type = head.headers.find("Content-Type");
     attempt.isEventStream = attempt.isDeliverable && type && absl::StartsWithIgnoreCase(*type, "text/event-stream") && m_request.isModelCall;
@@ -497,11 +497,11 @@
     inputs.delivered = m_attempts.current().has_value() || m_answer.hasHead();
     inputs.hedgesSoFar = m_hedges;
     inputs.elapsed = now - m_attemptData.rbegin()->second.startedAt;
-    inputs.learnedWait = m_broker.m_firstTokenTimes[m_request.routing.model].quantile(m_broker.m_hedgePolicy.quantile);
+    inputs.waitQuantile = m_broker.m_firstTokenTimes[m_request.routing.model].quantile(m_broker.m_hedgePolicy.quantile);
     inputs.budgetAvailable = m_broker.m_retryBudget.available() >= 1;
     inputs.timeLeft = m_request.traits.deadline - now;
     if (placement)
-        inputs.secondPrediction = placement->predictedTimeToFirstToken;
+        inputs.secondAttemptPrediction = placement->predictedTimeToFirstToken;
     if (shouldHedge(inputs, m_broker.m_hedgePolicy) != HedgeDecision::Hedge)
         return;
     m_broker.m_retryBudget.tryRetry();
@@ -581,7 +581,7 @@
     cancelAll();
     std::uint64_t output = m_splicer.summary().events;
     if (isGood && output > 0)
-        m_broker.m_outputs.learn(m_broker.outputKey(m_request), static_cast<double>(output));
+        m_broker.m_outputs.recordOutput(m_broker.outputKey(m_request), static_cast<double>(output));
     bool reachedEndpoint = m_endpointAttempts > 0 && (m_attempts.isCompleted() || m_attempts.mayHaveRun());
     double cost = reachedEndpoint ? estimateCost({ m_request.routing.promptTokens, 0, static_cast<double>(output), m_request.outputWeight }) : 0;
     if (cost > 0 && m_request.isModelCall && m_broker.onServed)
--- a/lib/Gateway/RequestRunCrashes.cpp
+++ b/lib/Gateway/RequestRunCrashes.cpp
@@ -20,7 +20,7 @@
 bool RequestRun::refuseIfCrashing()
 {
     TimePoint now = m_broker.m_parts.scheduler.clock().now();
-    std::optional<Duration> left = m_broker.m_crashing.isEmpty() ? std::nullopt : m_broker.m_crashing.refusedFor(fingerprint(), now);
+    std::optional<Duration> left = m_broker.m_crashing.isEmpty() ? std::nullopt : m_broker.m_crashing.remainingRefusal(fingerprint(), now);
     if (!left)
         return false;
     bool mayHaveRun = m_attempts.mayHaveRun();
@@ -49,11 +49,11 @@
     CrashingRequests& crashing = m_broker.m_crashing;
     bool isBroken = outcome == Outcome::Unknown && (result.end == HttpEnd::NoResponse || result.end == HttpEnd::Truncated);
     if (isBroken)
-        crashing.noteBroken(fingerprint(), attempt.startHash, {}, now);
+        crashing.recordBrokenConnection(fingerprint(), attempt.startHash, {}, now);
     if (result.end == HttpEnd::ConnectFailed)
-        crashing.noteGone(attempt.startHash, now);
+        crashing.recordEndpointUnreachable(attempt.startHash, now);
     if (outcome == Outcome::Completed && !crashing.isEmpty())
-        crashing.noteSurvived(fingerprint(), now);
+        crashing.recordSurvival(fingerprint(), now);
 }
 
 } // namespace catkinwing
--- a/lib/Gateway/StatusReport.cpp
+++ b/lib/Gateway/StatusReport.cpp
@@ -46,7 +46,7 @@
             { "name", member.identity.ref.name },
             { "state", stateName(member.state) },
             { "draining", member.draining },
-            { "hears_us", member.hearsUs },
+            { "hears_us", member.receivesOurMessages },
             { "operator_address", member.identity.operatorAddress.toString() },
         });
     }
@@ -211,7 +211,7 @@
     metrics.set("heartbeats_received", static_cast<double>(counters.heartbeatsReceived));
     metrics.set("digests_sent", static_cast<double>(counters.digestsSent));
     metrics.set("members_died", static_cast<double>(counters.membersDied));
-    metrics.set("freezes", static_cast<double>(counters.freezes));
+    metrics.set("freezes", static_cast<double>(counters.pauses));
     metrics.set("config_documents_applied", static_cast<double>(config.tree().counts().applied));
     metrics.set("config_documents_invalid", static_cast<double>(config.tree().counts().invalid));
     metrics.set("config_watching", config.isWatching() ? 1 : 0);
--- a/lib/Ingress/CrashExchange.cpp
+++ b/lib/Ingress/CrashExchange.cpp
@@ -43,10 +43,10 @@
 
 void CrashExchange::updateEntries()
 {
-    if (m_appliedEntryChanges == m_entries.changes())
+    if (m_appliedEntryChanges == m_entries.changeCount())
         return;
-    m_appliedEntryChanges = m_entries.changes();
-    m_otherEntries = m_entries.others();
+    m_appliedEntryChanges = m_entries.changeCount();
+    m_otherEntries = m_entries.otherEntries();
 }
 
 bool CrashExchange::mayReceive(const EntryTable::Neighbor& neighbor, const CrashNotice& notice) const
@@ -96,7 +96,7 @@
 
 void CrashExchange::queueSettledNotices(Outbox& outbox, TimePoint now)
 {
-    for (CrashNotice& notice : m_requests.takeSettled()) {
+    for (CrashNotice& notice : m_requests.takeSettledNotices()) {
         if (m_settledNotices.size() < maxSettledNotices)
             m_settledNotices.push_back({ std::move(notice), now, sendsPerSettledNotice });
     }
@@ -116,13 +116,13 @@
 
 void CrashExchange::queueSuspectNotices(Outbox& outbox, TimePoint now)
 {
-    for (const CrashNotice& notice : m_requests.takeNews(now)) {
+    for (const CrashNotice& notice : m_requests.takeChangedNotices(now)) {
         for (const SocketAddress& other : randomEntries(notice, changedNoticeFanout))
             outbox[other].push_back(notice);
     }
     if (m_ticks % suspectSendTicks != 0)
         return;
-    for (const CrashNotice& notice : m_requests.suspects(now)) {
+    for (const CrashNotice& notice : m_requests.suspectNotices(now)) {
         for (const SocketAddress& other : randomEntries(notice, 1))
             outbox[other].push_back(notice);
     }
@@ -131,7 +131,7 @@
 std::vector<OutgoingDatagram> CrashExchange::tick(TimePoint now)
 {
     ++m_ticks;
-    m_requests.houseKeep(now);
+    m_requests.settleAndExpire(now);
     if (m_requests.isEmpty() && m_settledNotices.empty())
         return {};
     updateEntries();
@@ -141,11 +141,11 @@
     return encodeOutbox(outbox);
 }
 
-std::vector<OutgoingDatagram> CrashExchange::tellUrgent(TimePoint now)
+std::vector<OutgoingDatagram> CrashExchange::takeUrgentDatagrams(TimePoint now)
 {
     updateEntries();
     Outbox outbox;
-    for (const CrashNotice& notice : m_requests.takeUrgent(now)) {
+    for (const CrashNotice& notice : m_requests.takeUrgentNotices(now)) {
         for (const SocketAddress& other : randomEntries(notice, urgentFanout))
             outbox[other].push_back(notice);
     }
@@ -167,14 +167,14 @@
     return out;
 }
 
-void CrashExchange::take(const SocketAddress& from, const CrashReport& report, TimePoint now)
+void CrashExchange::handleReport(const SocketAddress& from, const CrashReport& report, TimePoint now)
 {
     updateEntries();
     auto isFromSender = [&](const EntryTable::Neighbor& neighbor) { return neighbor.address == from; };
     if (std::none_of(m_otherEntries.begin(), m_otherEntries.end(), isFromSender))
         return;
     for (const CrashNotice& notice : report.notices)
-        m_requests.take(notice, now);
+        m_requests.mergeNotice(notice, now);
 }
 
 } // namespace catkinwing
--- a/lib/Ingress/EndpointTable.cpp
+++ b/lib/Ingress/EndpointTable.cpp
@@ -51,9 +51,9 @@
 }
 
 // Iterates over a copy because each attempt removes itself from the map.
-static void abortAttempts(const RoutedEndpoint& endpoint, GiveUpReason reason)
+static void abortAttempts(const RoutedEndpoint& endpoint, AbortReason reason)
 {
-    auto callbacks = endpoint.giveUps;
+    auto callbacks = endpoint.abortCallbacks;
     for (const auto& [attempt, abortAttempt] : callbacks)
         abortAttempt(reason);
 }
@@ -63,7 +63,7 @@
     logChange(LogLevel::Info, event,
         { { "endpoint", endpoint.record.incarnation }, { "service", endpoint.record.service },
             { "address", endpoint.record.address.toString() }, { "zone", endpoint.record.availabilityZone },
-            { "in_flight", endpoint.inFlight } });
+            { "in_flight", endpoint.requestsInFlight } });
 }
 
 // Includes the start time, so that the loads of two starts under one name are not added up.
@@ -134,10 +134,10 @@
 void EndpointTable::addToService(const std::shared_ptr<RoutedEndpoint>& endpoint, const std::string& service)
 {
     m_endpointsByService[service].push_back(endpoint);
-    std::shared_ptr<AnswerTimes>& times = m_serviceTimes[service];
+    std::shared_ptr<ResponseTimes>& times = m_serviceTimes[service];
     if (!times)
-        times = std::make_shared<AnswerTimes>();
-    endpoint->serviceTimes = times;
+        times = std::make_shared<ResponseTimes>();
+    endpoint->serviceResponseTimes = times;
 }
 
 // Called after the new start is in the table, so that the aborted requests can choose it.
@@ -145,10 +145,10 @@
 {
     if (m_replacedObserver)
         m_replacedObserver(endpoint);
-    abortAttempts(endpoint, GiveUpReason::StartedAgain);
+    abortAttempts(endpoint, AbortReason::Restarted);
 }
 
-void EndpointTable::noteUnreadable(const std::string& incarnation)
+void EndpointTable::recordUnreadable(const std::string& incarnation)
 {
     auto found = m_endpoints.find(incarnation);
     if (found == m_endpoints.end() || found->second->isUnreadable)
@@ -182,7 +182,7 @@
     detach(incarnation);
 }
 
-void EndpointTable::noteMissing(const std::string& incarnation)
+void EndpointTable::recordMissing(const std::string& incarnation)
 {
     auto found = m_endpoints.find(incarnation);
     if (found == m_endpoints.end() || found->second->isMissing)
@@ -229,7 +229,7 @@
     m_coldTolerance = { 0, ratio, slack };
 }
 
-void EndpointTable::noteLeaving(RoutedEndpoint& endpoint, TimePoint now)
+void EndpointTable::recordLeaving(RoutedEndpoint& endpoint, TimePoint now)
 {
     if (m_leavingStartExpiry.size() >= maxLeavingStarts)
         absl::erase_if(m_leavingStartExpiry, [now](const auto& start) { return now >= start.second; });
@@ -245,14 +245,14 @@
     return announced != m_leavingStartExpiry.end() && now < announced->second;
 }
 
-void EndpointTable::notePause(RoutedEndpoint& endpoint, milliseconds pause, TimePoint now)
+void EndpointTable::recordPause(RoutedEndpoint& endpoint, milliseconds pause, TimePoint now)
 {
     if (now >= endpoint.pausedUntil)
         logEndpoint("endpoint_paused", endpoint);
     endpoint.pausedUntil = std::max(endpoint.pausedUntil, now + std::min(pause, maxPause));
 }
 
-Duration EndpointTable::pauseOf(absl::string_view service, TimePoint now) const
+Duration EndpointTable::minRemainingPause(absl::string_view service, TimePoint now) const
 {
     auto found = m_endpointsByService.find(service);
     std::optional<Duration> shortest;
@@ -267,18 +267,18 @@
     return shortest.value_or(Duration::zero());
 }
 
-void EndpointTable::noteBegan(RoutedEndpoint& endpoint, TimePoint now) const
+void EndpointTable::recordAttemptStarted(RoutedEndpoint& endpoint, TimePoint now) const
 {
-    if (endpoint.inFlight == 0)
+    if (endpoint.requestsInFlight == 0)
         endpoint.silentSince = now;
-    ++endpoint.inFlight;
+    ++endpoint.requestsInFlight;
 }
 
 // An endpoint that crashed, is paused or is partitioned may report no error, and is then
 // detected only because it sends nothing.
 bool EndpointTable::isLocallySuspect(const RoutedEndpoint& endpoint, TimePoint now)
 {
-    bool isSilent = endpoint.inFlight > 0 && now - endpoint.silentSince > maxSilence;
+    bool isSilent = endpoint.requestsInFlight > 0 && now - endpoint.silentSince > maxSilence;
     return isSilent || now < endpoint.suspectUntil || failureShareOf(endpoint, now) > maxFailureShare;
 }
 
@@ -291,42 +291,42 @@
     if (hasFailedLocally)
         return true;
     bool isSilentLocally = isLocallySuspect(endpoint, now);
-    EndpointWorkload others = m_peerLoads.at(endpoint.hash);
+    EndpointWorkload others = m_peerLoads.sumFor(endpoint.hash);
     std::uint32_t suspicions = others.suspicions + (isSilentLocally ? 1 : 0);
-    std::uint32_t users = others.users + (endpoint.inFlight > 0 ? 1 : 0);
+    std::uint32_t users = others.users + (endpoint.requestsInFlight > 0 ? 1 : 0);
     return suspicions > 0 && suspicions * 2 > users;
 }
 
 // An engine that processes long prompts before it sends an event of any request is silent for
 // the duration of the prefill, so the predicted wait is added to the limit.
-void EndpointTable::leaveSilent(TimePoint now)
+void EndpointTable::abortUnresponsive(TimePoint now)
 {
     std::vector<std::shared_ptr<RoutedEndpoint>> silent;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
-        bool isSilent = !endpoint->giveUps.empty() && now - endpoint->silentSince > maxSilence + predictWait(responseEstimateOf(*endpoint, now), workOf(*endpoint), 0);
+        bool isSilent = !endpoint->abortCallbacks.empty() && now - endpoint->silentSince > maxSilence + predictWait(responseEstimateOf(*endpoint, now), pendingWork(*endpoint), 0);
         if (isSilent && isSuspect(*endpoint, now))
             silent.push_back(endpoint);
     }
     for (const auto& endpoint : silent)
-        abortAttempts(*endpoint, GiveUpReason::Silent);
+        abortAttempts(*endpoint, AbortReason::Unresponsive);
 }
 
-void EndpointTable::forgiveSilence(TimePoint now)
+void EndpointTable::resetSilence(TimePoint now)
 {
     for (const auto& [incarnation, endpoint] : m_endpoints)
         endpoint->silentSince = now;
 }
 
-std::vector<EndpointWorkload> EndpointTable::ownLoads(TimePoint now) const
+std::vector<EndpointWorkload> EndpointTable::ownWorkloads(TimePoint now) const
 {
     constexpr std::int64_t tokensPerUnit = 1'000;
     std::vector<EndpointWorkload> loads;
     for (const auto& [incarnation, endpoint] : m_endpoints) {
         bool isSuspect = isLocallySuspect(*endpoint, now);
-        if (endpoint->inFlight == 0 && !isSuspect)
+        if (endpoint->requestsInFlight == 0 && !isSuspect)
             continue;
-        auto kilotokens = static_cast<std::uint32_t>((endpoint->unreadTokens + tokensPerUnit / 2) / tokensPerUnit);
-        loads.push_back({ endpoint->hash, endpoint->inFlight, kilotokens, isSuspect ? 1u : 0u });
+        auto kilotokens = static_cast<std::uint32_t>((endpoint->unprefilledTokens + tokensPerUnit / 2) / tokensPerUnit);
+        loads.push_back({ endpoint->hash, endpoint->requestsInFlight, kilotokens, isSuspect ? 1u : 0u });
     }
     return loads;
 }
@@ -342,9 +342,9 @@
     return endpoint.failureShare * std::exp2(-halfLives);
 }
 
-void EndpointTable::noteEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now)
+void EndpointTable::recordAttemptEnded(RoutedEndpoint& endpoint, bool isFailure, TimePoint now)
 {
-    --endpoint.inFlight;
+    --endpoint.requestsInFlight;
     bool wasSuspect = isLocallySuspect(endpoint, now);
     double share = failureShareOf(endpoint, now);
     share += isFailure ? failureWeight * (1 - share) : -successWeight * share;
--- a/lib/Ingress/EndpointTableChoice.cpp
+++ b/lib/Ingress/EndpointTableChoice.cpp
@@ -11,39 +11,39 @@
 /// Lower bound of the estimated work of a request.
 static constexpr double minWorkSeconds = 0.001;
 
-EndpointWork EndpointTable::workOf(const RoutedEndpoint& endpoint) const
+EndpointWork EndpointTable::pendingWork(const RoutedEndpoint& endpoint) const
 {
-    EndpointWorkload others = m_peerLoads.at(endpoint.hash);
+    EndpointWorkload others = m_peerLoads.sumFor(endpoint.hash);
     EndpointWork work;
-    work.requests = endpoint.inFlight + others.requests;
-    work.unreadKilotokens = static_cast<double>(endpoint.unreadTokens) / tokensPerKilotoken + others.unreadKilotokens;
+    work.requests = endpoint.requestsInFlight + others.requests;
+    work.unprefilledKilotokens = static_cast<double>(endpoint.unprefilledTokens) / tokensPerKilotoken + others.unreadKilotokens;
     return work;
 }
 
-AnswerEstimate EndpointTable::responseEstimateOf(const RoutedEndpoint& endpoint, TimePoint now)
+ResponseEstimate EndpointTable::responseEstimateOf(const RoutedEndpoint& endpoint, TimePoint now)
 {
-    return estimateAnswers(endpoint.answerTimes, estimateAnswers(*endpoint.serviceTimes, usualAnswers(), now), now);
+    return estimateResponses(endpoint.responseTimes, estimateResponses(*endpoint.serviceResponseTimes, defaultResponseEstimate(), now), now);
 }
 
-void EndpointTable::noteFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now)
+void EndpointTable::recordFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now)
 {
-    learnFirstByte(endpoint.answerTimes, kilotokens, took, now);
-    learnFirstByte(*endpoint.serviceTimes, kilotokens, took, now);
+    addFirstByteSample(endpoint.responseTimes, kilotokens, took, now);
+    addFirstByteSample(*endpoint.serviceResponseTimes, kilotokens, took, now);
 }
 
-void EndpointTable::noteHeld(RoutedEndpoint& endpoint, Duration held, TimePoint now)
+void EndpointTable::recordSlotTime(RoutedEndpoint& endpoint, Duration held, TimePoint now)
 {
-    learnHeld(endpoint.answerTimes, held, now);
-    learnHeld(*endpoint.serviceTimes, held, now);
+    addSlotTimeSample(endpoint.responseTimes, held, now);
+    addSlotTimeSample(*endpoint.serviceResponseTimes, held, now);
 }
 
-void EndpointTable::noteEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now)
+void EndpointTable::recordEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now)
 {
-    learnEvents(endpoint.answerTimes, events, pause, now);
-    learnEvents(*endpoint.serviceTimes, events, pause, now);
+    addEventSample(endpoint.responseTimes, events, pause, now);
+    addEventSample(*endpoint.serviceResponseTimes, events, pause, now);
 }
 
-Duration EndpointTable::waitAt(const RoutedEndpoint& endpoint, const AnswerEstimate& estimate, const EndpointWork& work, const ServiceSettings& service)
+Duration EndpointTable::predictedWait(const RoutedEndpoint& endpoint, const ResponseEstimate& estimate, const EndpointWork& work, const ServiceSettings& service)
 {
     unsigned slots = endpoint.record.slots > 0 ? endpoint.record.slots : service.slots;
     return predictWait(estimate, work, slots);
@@ -55,15 +55,15 @@
 
 EndpointCandidate EndpointTable::candidateOf(const RoutedEndpoint& endpoint, const EndpointRequest& request, TimePoint now) const
 {
-    EndpointWork work = workOf(endpoint);
+    EndpointWork work = pendingWork(endpoint);
     EndpointCandidate candidate;
     candidate.incarnation = endpoint.record.incarnation;
-    AnswerEstimate estimate = responseEstimateOf(endpoint, now);
-    candidate.wait = waitAt(endpoint, estimate, work, *request.service);
+    ResponseEstimate estimate = responseEstimateOf(endpoint, now);
+    candidate.wait = predictedWait(endpoint, estimate, work, *request.service);
     candidate.load = candidate.wait + std::chrono::duration_cast<Duration>(timePerKilotoken(estimate) * (work.requests / requestsPerKilotoken))
-        + std::chrono::duration_cast<Duration>(timePerEvent(estimate) * request.events);
+        + std::chrono::duration_cast<Duration>(timePerEvent(estimate) * request.expectedEvents);
     candidate.isSuspect = isSuspect(endpoint, now);
-    candidate.isTooBusy = request.demand && candidate.wait > longestWait(*request.demand, idleFirstByte(estimate));
+    candidate.isTooBusy = request.demand && candidate.wait > maxQueueWait(*request.demand, idleFirstByte(estimate));
     return candidate;
 }
 
@@ -73,7 +73,7 @@
     if (service.maxConnections == 0)
         return true;
     std::size_t share = std::max<std::size_t>(service.maxConnections / std::max<std::size_t>(m_entriesOfRegion.size(), 1), 1);
-    return endpoint.inFlight < share;
+    return endpoint.requestsInFlight < share;
 }
 
 bool EndpointTable::tryTakeColdToken(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const
@@ -97,11 +97,11 @@
 EndpointDemand EndpointTable::demandOf(const EndpointRequest& request)
 {
     EndpointDemand demand;
-    demand.sharedPart = request.sharedPart;
-    AnswerEstimate defaults = usualAnswers();
-    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(defaults) * (static_cast<double>(request.sharedTokens) / tokensPerKilotoken));
+    demand.sharedSegment = request.sharedSegment;
+    ResponseEstimate defaults = defaultResponseEstimate();
+    demand.prefillTime = std::chrono::duration_cast<Duration>(timePerKilotoken(defaults) * (static_cast<double>(request.sharedTokens) / tokensPerKilotoken));
     if (request.demand)
-        demand.longestWait = longestWait(*request.demand, idleFirstByte(defaults));
+        demand.maxWait = maxQueueWait(*request.demand, idleFirstByte(defaults));
     return demand;
 }
 
@@ -110,20 +110,20 @@
     auto found = m_endpointsByService.find(request.service->name);
     if (found == m_endpointsByService.end())
         return nullptr;
-    m_segmentHolders.setMemory(request.service->memoryTokens);
+    m_segmentHolders.setCacheSize(request.service->memoryTokens);
     const Endpoints& endpoints = found->second;
-    std::uint32_t segment = partHash(request.sharedPart);
+    std::uint32_t segment = segmentHash(request.sharedSegment);
     std::vector<EndpointCandidate> candidates;
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
         const RoutedEndpoint& endpoint = *endpoints[i];
         if (endpoint.region != m_region || !isAvailable(endpoint, now) || !hasFreeConnection(endpoint, *request.service))
             continue;
-        const std::vector<std::string>& tried = *request.tried;
+        const std::vector<std::string>& tried = *request.attemptedIncarnations;
         bool wasTried = std::find(tried.begin(), tried.end(), endpoint.record.incarnation) != tried.end();
-        if (wasTried && !request.mayBeTried)
+        if (wasTried && !request.allowsAttempted)
             continue;
         EndpointCandidate candidate = candidateOf(endpoint, request, now);
-        candidate.holdsPart = !request.sharedPart.empty() && m_segmentHolders.holds(endpoint.hash, segment);
+        candidate.cachesSegment = !request.sharedSegment.empty() && m_segmentHolders.holds(endpoint.hash, segment);
         candidate.index = i;
         candidate.isSuspect |= wasTried;
         candidates.push_back(candidate);
@@ -153,8 +153,8 @@
         bool isCold = now < endpoint->coldUntil && service.coldRequestsPerSecond > 0;
         if (endpoint->region != m_region || !isAvailable(*endpoint, now) || isCold || isSuspect(*endpoint, now))
             continue;
-        AnswerEstimate estimate = responseEstimateOf(*endpoint, now);
-        waits.push_back(waitAt(*endpoint, estimate, workOf(*endpoint), service));
+        ResponseEstimate estimate = responseEstimateOf(*endpoint, now);
+        waits.push_back(predictedWait(*endpoint, estimate, pendingWork(*endpoint), service));
         prefill += timePerKilotoken(estimate);
         events += timePerEvent(estimate);
     }
@@ -172,7 +172,7 @@
 
 // The work of a request at an endpoint is the prefill time of its prompt or the time that it
 // occupies a slot divided by the number of slots, whichever is longer.
-Duration EndpointTable::workPerRequest(absl::string_view service, std::int64_t promptTokens, TimePoint now) const
+Duration EndpointTable::requestInterval(absl::string_view service, std::int64_t promptTokens, TimePoint now) const
 {
     auto found = m_endpointsByService.find(service);
     double perSecond = 0;
@@ -181,9 +181,9 @@
     for (const auto& endpoint : found->second) {
         if (endpoint->region != m_region || !isUsable(*endpoint))
             continue;
-        AnswerEstimate estimate = responseEstimateOf(*endpoint, now);
+        ResponseEstimate estimate = responseEstimateOf(*endpoint, now);
         double prefill = estimate.secondsPerKilotoken * static_cast<double>(promptTokens) / tokensPerKilotoken;
-        double slotTime = estimate.heldSeconds / std::max(endpoint->record.slots, 1u);
+        double slotTime = estimate.slotSeconds / std::max(endpoint->record.slots, 1u);
         perSecond += 1 / std::max({ prefill, slotTime, minWorkSeconds });
     }
     if (perSecond <= 0)
--- a/lib/Ingress/EndpointTableSegments.cpp
+++ b/lib/Ingress/EndpointTableSegments.cpp
@@ -14,16 +14,16 @@
     return endpointHash(region);
 }
 
-std::int64_t EndpointTable::tokensToRead(const RoutedEndpoint& endpoint, std::int64_t promptTokens, std::int64_t sharedTokens, absl::string_view sharedSegment, TimePoint now)
+std::int64_t EndpointTable::recordSegmentAndGetPrefillTokens(const RoutedEndpoint& endpoint, std::int64_t promptTokens, std::int64_t sharedTokens, absl::string_view sharedSegment, TimePoint now)
 {
     if (sharedSegment.empty())
         return promptTokens;
-    std::uint32_t segment = partHash(sharedSegment);
+    std::uint32_t segment = segmentHash(sharedSegment);
     bool isCached = m_segmentHolders.holds(endpoint.hash, segment);
     std::int64_t tokens = isCached ? std::max<std::int64_t>(promptTokens - sharedTokens, 0) : promptTokens;
     auto kilotokens = static_cast<std::uint32_t>(std::lround(static_cast<double>(tokens) / tokensPerKilotoken));
-    m_segmentHolders.noteSent(endpoint.hash, segment, kilotokens);
-    m_segmentRegions.noteSent(segment, reportedRegionHash(m_region), now);
+    m_segmentHolders.recordSent(endpoint.hash, segment, kilotokens);
+    m_segmentRegions.recordSent(segment, reportedRegionHash(m_region), now);
     addSentSegment({ endpoint.hash, segment, kilotokens });
     return tokens;
 }
@@ -34,39 +34,39 @@
         m_segmentsSent.push_back(sent);
 }
 
-void EndpointTable::noteSentToRegion(const std::string& region, absl::string_view sharedSegment, TimePoint now)
+void EndpointTable::recordSentToRegion(const std::string& region, absl::string_view sharedSegment, TimePoint now)
 {
-    std::uint32_t segment = partHash(sharedSegment);
-    m_segmentRegions.noteSent(segment, reportedRegionHash(region), now);
+    std::uint32_t segment = segmentHash(sharedSegment);
+    m_segmentRegions.recordSent(segment, reportedRegionHash(region), now);
     addSentSegment({ reportedRegionHash(region), segment, 0 });
 }
 
-void EndpointTable::noteNotRead(const RoutedEndpoint& endpoint, absl::string_view sharedSegment)
+void EndpointTable::removeSegment(const RoutedEndpoint& endpoint, absl::string_view sharedSegment)
 {
-    m_segmentHolders.forget(endpoint.hash, partHash(sharedSegment));
+    m_segmentHolders.remove(endpoint.hash, segmentHash(sharedSegment));
 }
 
-void EndpointTable::takePartsSent(const std::vector<PartSent>& segments, TimePoint now)
+void EndpointTable::recordPeerSegments(const std::vector<PartSent>& segments, TimePoint now)
 {
     for (const PartSent& sent : segments) {
         bool isRegion = m_regionByHash.count(sent.place) > 0;
-        m_segmentRegions.noteSent(sent.part, isRegion ? sent.place : reportedRegionHash(m_region), now);
+        m_segmentRegions.recordSent(sent.part, isRegion ? sent.place : reportedRegionHash(m_region), now);
         if (!isRegion)
-            m_segmentHolders.noteSent(sent.place, sent.part, sent.kilotokens);
+            m_segmentHolders.recordSent(sent.place, sent.part, sent.kilotokens);
     }
 }
 
-std::optional<Duration> EndpointTable::waitForHolder(const ServiceSettings& service, absl::string_view sharedSegment, TimePoint now) const
+std::optional<Duration> EndpointTable::minWaitForSegment(const ServiceSettings& service, absl::string_view sharedSegment, TimePoint now) const
 {
     auto found = m_endpointsByService.find(service.name);
     if (found == m_endpointsByService.end())
         return std::nullopt;
-    std::uint32_t segment = partHash(sharedSegment);
+    std::uint32_t segment = segmentHash(sharedSegment);
     std::optional<Duration> shortest;
     for (const auto& endpoint : found->second) {
         if (endpoint->region != m_region || !m_segmentHolders.holds(endpoint->hash, segment) || !isAvailable(*endpoint, now) || isSuspect(*endpoint, now))
             continue;
-        Duration wait = waitAt(*endpoint, responseEstimateOf(*endpoint, now), workOf(*endpoint), service);
+        Duration wait = predictedWait(*endpoint, responseEstimateOf(*endpoint, now), pendingWork(*endpoint), service);
         if (!shortest || wait < *shortest)
             shortest = wait;
     }
@@ -78,12 +78,12 @@
     return regions.empty() || std::find(regions.begin(), regions.end(), region) != regions.end();
 }
 
-std::optional<std::string> EndpointTable::regionOfPart(absl::string_view service, absl::string_view sharedSegment, const std::vector<std::string>& regions, TimePoint now) const
+std::optional<std::string> EndpointTable::regionOfSegment(absl::string_view service, absl::string_view sharedSegment, const std::vector<std::string>& regions, TimePoint now) const
 {
     auto found = m_endpointsByService.find(service);
     if (found == m_endpointsByService.end())
         return std::nullopt;
-    std::optional<std::uint32_t> lastUsed = m_segmentRegions.regionOf(partHash(sharedSegment), now);
+    std::optional<std::uint32_t> lastUsed = m_segmentRegions.regionOf(segmentHash(sharedSegment), now);
     auto region = lastUsed ? m_regionByHash.find(*lastUsed) : m_regionByHash.end();
     const std::string* lastRegion = region == m_regionByHash.end() ? nullptr : &region->second;
     const RoutedEndpoint* owner = nullptr;
--- a/lib/Ingress/EntryRegistration.cpp
+++ b/lib/Ingress/EntryRegistration.cpp
@@ -99,7 +99,7 @@
     isRegistered = true;
     retryDelay = options.firstRetryDelay;
     logChange(LogLevel::Info, "entry_registered", { { "key", options.key } });
-    scheduler.callAfter(options.renewEvery, ifCurrent([](Impl& self) { self.renew(); }));
+    scheduler.callAfter(options.renewInterval, ifCurrent([](Impl& self) { self.renew(); }));
 }
 
 void EntryRegistration::Impl::renew()
@@ -117,7 +117,7 @@
     }
     if (left.ok())
         retryDelay = options.firstRetryDelay;
-    scheduler.callAfter(left.ok() ? options.renewEvery : nextRetryDelay(), ifCurrent([](Impl& self) { self.renew(); }));
+    scheduler.callAfter(left.ok() ? options.renewInterval : nextRetryDelay(), ifCurrent([](Impl& self) { self.renew(); }));
 }
 
 void EntryRegistration::Impl::dropLease()
@@ -158,7 +158,7 @@
     m_impl->dropLease();
 }
 
-void EntryRegistration::noteVanished()
+void EntryRegistration::recordKeyDeleted()
 {
     if (m_impl->isRegistered)
         m_impl->restart("key deleted");
--- a/lib/Ingress/EntryTable.cpp
+++ b/lib/Ingress/EntryTable.cpp
@@ -23,8 +23,8 @@
     nlohmann::json json = {
         { "region", record.region },
         { "zone", record.availabilityZone },
-        { "clients", record.clients.toString() },
-        { "peers", record.peers.toString() },
+        { "clients", record.clientAddress.toString() },
+        { "peers", record.peerAddress.toString() },
     };
     return json.dump();
 }
@@ -60,12 +60,12 @@
 }
 
 // Counts addresses because a restarted entry has two registrations until its old lease expires.
-std::size_t EntryTable::recentSize(TimePoint now)
+std::size_t EntryTable::recentMaxAddresses(TimePoint now)
 {
     if (m_addressCountVersion != m_changeCount) {
         std::set<SocketAddress> addresses;
         for (const auto& [key, entry] : m_entries)
-            addresses.insert(entry.record.peers);
+            addresses.insert(entry.record.peerAddress);
         m_addressCount = addresses.size();
         m_addressCountVersion = m_changeCount;
     }
@@ -74,9 +74,9 @@
 
 EntryOrder EntryTable::orderFor(std::uint64_t subject, const std::vector<std::string>& regions) const
 {
-    std::uint64_t own = stableHash(m_self.peers.toString(), subject);
+    std::uint64_t own = stableHash(m_self.peerAddress.toString(), subject);
     EntryOrder order;
-    for (const Neighbor& neighbor : others()) {
+    for (const Neighbor& neighbor : otherEntries()) {
         if (!regions.empty() && std::count(regions.begin(), regions.end(), neighbor.region) == 0)
             continue;
         ++order.entries;
@@ -87,7 +87,7 @@
 
 void EntryTable::remove(const std::string& key, TimePoint now)
 {
-    recentSize(now);
+    recentMaxAddresses(now);
     auto isExpired = [now](const Departed& departed) { return now - departed.removedAt > departedRetention; };
     m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isExpired), m_departed.end());
     auto found = m_entries.find(key);
@@ -98,7 +98,7 @@
         logChange(LogLevel::Info, "entry_removed", { { "entry", key }, { "entries", m_entries.size() } });
 }
 
-void EntryTable::noteMissing(const std::string& key)
+void EntryTable::recordMissing(const std::string& key)
 {
     auto found = m_entries.find(key);
     if (found != m_entries.end())
@@ -136,18 +136,18 @@
     std::vector<SocketAddress> all;
     for (const auto& [key, entry] : m_entries) {
         const EntryRecord& record = entry.record;
-        addOnce(all, record.clients);
+        addOnce(all, record.clientAddress);
         if (record.region == region)
-            addOnce(ofRegion, record.clients);
+            addOnce(ofRegion, record.clientAddress);
         if (contains(homes.regions, record.region))
-            addOnce(ofHomes, record.clients);
+            addOnce(ofHomes, record.clientAddress);
         if (record.availabilityZone == availabilityZone)
-            addOnce(ofZone, record.clients);
+            addOnce(ofZone, record.clientAddress);
     }
     for (const Departed& departed : m_departed) {
         bool isAllowed = departed.record.region == region || contains(homes.regions, departed.record.region);
         if (isAllowed && !homes.regions.empty() && now - departed.removedAt <= shutdownTime)
-            addOnce(leaving, departed.record.clients);
+            addOnce(leaving, departed.record.clientAddress);
     }
     for (std::vector<SocketAddress>* group : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
         if (!group->empty())
@@ -162,10 +162,10 @@
 {
     std::vector<SocketAddress> candidates;
     for (const auto& [key, entry] : m_entries) {
-        const SocketAddress& peer = entry.record.peers;
+        const SocketAddress& peer = entry.record.peerAddress;
         auto suspect = m_suspectUntil.find(peer);
         bool isSuspect = suspect != m_suspectUntil.end() && now < suspect->second;
-        if (entry.record.region == region && peer != m_self.peers && !isSuspect)
+        if (entry.record.region == region && peer != m_self.peerAddress && !isSuspect)
             addOnce(candidates, peer);
     }
     if (candidates.empty())
@@ -178,19 +178,19 @@
     std::vector<SocketAddress> peers;
     for (const Departed& departed : m_departed) {
         if (departed.record.region == region && now - departed.removedAt <= departedRetention)
-            addOnce(peers, departed.record.peers);
+            addOnce(peers, departed.record.peerAddress);
     }
     if (peers.empty())
         return std::nullopt;
     return peers[random.below(peers.size())];
 }
 
-std::vector<SocketAddress> EntryTable::peersOf(const std::string& region) const
+std::vector<SocketAddress> EntryTable::peerAddresses(const std::string& region) const
 {
     std::vector<SocketAddress> peers;
     for (const auto& [key, entry] : m_entries) {
-        if (entry.record.region == region && entry.record.peers != m_self.peers)
-            addOnce(peers, entry.record.peers);
+        if (entry.record.region == region && entry.record.peerAddress != m_self.peerAddress)
+            addOnce(peers, entry.record.peerAddress);
     }
     return peers;
 }
@@ -204,10 +204,10 @@
     return { regions.begin(), regions.end() };
 }
 
-void EntryTable::notePeerFailure(const SocketAddress& peer, TimePoint now)
+void EntryTable::recordPeerFailure(const SocketAddress& peer, TimePoint now)
 {
     m_suspectUntil[peer] = now + peerSuspectTime;
-    auto isPeer = [&peer](const Departed& departed) { return departed.record.peers == peer; };
+    auto isPeer = [&peer](const Departed& departed) { return departed.record.peerAddress == peer; };
     m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isPeer), m_departed.end());
     logChange(LogLevel::Warning, "entry_suspect", { { "entry", peer.toString() } });
 }
@@ -219,7 +219,7 @@
     std::map<SocketAddress, Peer> byAddress;
     for (const auto& [key, entry] : m_entries) {
         if (entry.record.region == region)
-            byAddress[entry.record.peers] = { { key, entry.record.availabilityZone }, entry.record.peers };
+            byAddress[entry.record.peerAddress] = { { key, entry.record.availabilityZone }, entry.record.peerAddress };
     }
     std::vector<Peer> peers;
     peers.reserve(byAddress.size());
@@ -228,12 +228,12 @@
     return peers;
 }
 
-std::vector<EntryTable::Neighbor> EntryTable::others() const
+std::vector<EntryTable::Neighbor> EntryTable::otherEntries() const
 {
     std::map<SocketAddress, Neighbor> byAddress;
     for (const auto& [key, entry] : m_entries) {
-        if (entry.record.peers != m_self.peers)
-            byAddress[entry.record.peers] = { key, entry.record.region, entry.record.peers };
+        if (entry.record.peerAddress != m_self.peerAddress)
+            byAddress[entry.record.peerAddress] = { key, entry.record.region, entry.record.peerAddress };
     }
     std::vector<Neighbor> neighbors;
     neighbors.reserve(byAddress.size());
@@ -250,11 +250,11 @@
     return keys;
 }
 
-std::optional<SocketAddress> EntryTable::relay(const std::string& self, TimePoint now) const
+std::optional<SocketAddress> EntryTable::relayAddress(const std::string& self, TimePoint now) const
 {
     std::vector<std::string> candidates;
     for (const auto& [key, entry] : m_entries) {
-        auto suspect = m_suspectUntil.find(entry.record.peers);
+        auto suspect = m_suspectUntil.find(entry.record.peerAddress);
         bool isSuspect = suspect != m_suspectUntil.end() && now < suspect->second;
         if (entry.record.availabilityZone == m_self.availabilityZone && !isSuspect)
             candidates.push_back(key);
@@ -262,8 +262,8 @@
     std::string chosen = chooseDelegate(candidates, "relay");
     if (chosen.empty() || chosen == self)
         return std::nullopt;
-    const SocketAddress& peer = m_entries.at(chosen).record.peers;
-    if (peer == m_self.peers)
+    const SocketAddress& peer = m_entries.at(chosen).record.peerAddress;
+    if (peer == m_self.peerAddress)
         return std::nullopt;
     return peer;
 }
--- a/lib/Ingress/IngressDaemon.cpp
+++ b/lib/Ingress/IngressDaemon.cpp
@@ -87,12 +87,12 @@
         , parts { eventLoop, random, *endpointClient, *peerClient, metrics, log, dialect, settings.region,
             EndpointTable(settings.region, ingress.regionOfZone), EntryTable(self), { ingress.retryRatio, ingress.retrySlack }, {}, {}, {}, {}, {}, {}, {}, 0, 0, CrashingRequests(random.bits()) }
         , loadExchange(parts.endpoints, parts.entries, self)
-        , crashExchange(parts.crashing, parts.entries, self, random)
+        , crashExchange(parts.crashingRequests, parts.entries, self, random)
         , registration(*store, eventLoop, registrationOptions())
         , relayedStore(*store, *peerClient, eventLoop, relayCallbacks())
         , follower(relayedStore, eventLoop, random, entryPrefix, parts, [this](const std::string& key) {
             if (key == registration.key())
-                registration.noteVanished();
+                registration.recordKeyDeleted();
         })
     {
     }
@@ -117,17 +117,17 @@
         options.key = absl::StrCat(entryPrefix, settings.name, ".", makeId(random).substr(0, 8));
         options.value = writeEntryRecord(self);
         options.timeToLive = entryLeaseDuration;
-        options.renewEvery = entryRenewalInterval;
+        options.renewInterval = entryRenewalInterval;
         return options;
     }
 
     RelayCallbacks relayCallbacks()
     {
         RelayCallbacks callbacks;
-        callbacks.findRelay = [this] { return parts.entries.relay(ownKey(), loop.clock().now()); };
+        callbacks.findRelay = [this] { return parts.entries.relayAddress(ownKey(), loop.clock().now()); };
         callbacks.findBootstrapPeer = [this] { return lastReportSender; };
         callbacks.recordHistoryGap = [this] { follower.recordHistoryGap(); };
-        callbacks.recordRelayFailure = [this](const SocketAddress& peer) { parts.entries.notePeerFailure(peer, loop.clock().now()); };
+        callbacks.recordRelayFailure = [this](const SocketAddress& peer) { parts.entries.recordPeerFailure(peer, loop.clock().now()); };
         return callbacks;
     }
 
@@ -140,7 +140,7 @@
     void answerReadiness(const HttpRequest& request, HttpResponder& responder) const;
     void answerDirectory(const HttpRequest& request, HttpResponder& responder);
     void answerOperator(const HttpRequest& request, HttpResponder& responder);
-    bool isReady() const { return parts.routes && follower.hasListedStore() && !parts.stop; }
+    bool isReady() const { return parts.routes && follower.hasListedStore() && !parts.plannedStop; }
     void receiveLoadReport(const SocketAddress& from, absl::string_view bytes);
     void receiveRegionReport(const SocketAddress& from, absl::string_view bytes);
     void send(const std::vector<OutgoingDatagram>& datagrams);
@@ -167,7 +167,7 @@
     std::unique_ptr<HttpClient> peerClient;
     std::unique_ptr<Store> store;
     EntryRecord self;
-    IngressParts parts;
+    IngressContext parts;
     LoadExchange loadExchange;
     CrashExchange crashExchange;
     EntryRegistration registration;
@@ -259,7 +259,7 @@
 
 void IngressDaemon::Impl::answerReadiness(const HttpRequest& request, HttpResponder& responder) const
 {
-    if (!dialect.isReadinessQuestion(request))
+    if (!dialect.isReadinessProbe(request))
         sendResponse(responder, statusNotFound, "text/plain", "");
     else
         sendResponse(responder, isReady() ? statusOk : statusUnavailable, "text/plain", "");
@@ -267,7 +267,7 @@
 
 void IngressDaemon::Impl::answerDirectory(const HttpRequest& request, HttpResponder& responder)
 {
-    std::optional<DirectoryQuestion> question = dialect.readDirectoryQuestion(request);
+    std::optional<EntryDirectoryQuery> question = dialect.readDirectoryQuery(request);
     if (!question) {
         sendResponse(responder, statusNotFound, "text/plain", "");
         return;
@@ -276,14 +276,14 @@
     std::vector<SocketAddress> entries = parts.entries.entriesFor(question->region, question->availabilityZone, homes, loop.clock().now());
     bool mayServe = !homes.bindsAll || question->region == settings.region || std::count(homes.regions.begin(), homes.regions.end(), settings.region) > 0;
     if (entries.empty() && isReady() && mayServe)
-        entries.push_back(self.clients);
+        entries.push_back(self.clientAddress);
     if (entries.empty()) {
         sendResponse(responder, statusUnavailable, "text/plain", "");
         return;
     }
     metrics.count("directory_answers");
     auto validFor = std::chrono::duration_cast<milliseconds>(ingress.directoryLifetime);
-    sendResponse(responder, statusOk, "application/json", dialect.writeDirectoryAnswer(entries, validFor));
+    sendResponse(responder, statusOk, "application/json", dialect.writeDirectoryResponse(entries, validFor));
 }
 
 void IngressDaemon::Impl::answerOperator(const HttpRequest& request, HttpResponder& responder)
@@ -292,18 +292,18 @@
         sendResponse(responder, statusNotFound, "text/plain", "");
         return;
     }
-    metrics.set("open_requests", static_cast<double>(parts.openRequests));
+    metrics.set("open_requests", static_cast<double>(parts.openRequestCount));
     for (const auto& [kind, calls] : storeCalls)
         metrics.set("store_calls_" + kind, static_cast<double>(calls));
-    metrics.set("watches_store", relayedStore.isDirect() ? 1 : 0);
-    metrics.set("store_age_seconds", std::chrono::duration<double>(relayedStore.age().value_or(Duration::zero())).count());
-    metrics.set("requests_refused_for_crashes", static_cast<double>(parts.crashing.refused(loop.clock().now())));
+    metrics.set("watches_store", relayedStore.watchesDirectly() ? 1 : 0);
+    metrics.set("store_age_seconds", std::chrono::duration<double>(relayedStore.dataAge().value_or(Duration::zero())).count());
+    metrics.set("requests_refused_for_crashes", static_cast<double>(parts.crashingRequests.refusedCount(loop.clock().now())));
     for (const auto& [service, budget] : parts.retryBudgets) {
         metrics.set("retry_budget_requests_" + service, static_cast<double>(budget.totals().requests));
         metrics.set("retry_budget_retries_" + service, static_cast<double>(budget.totals().retries));
         metrics.set("retry_budget_denied_" + service, static_cast<double>(budget.totals().denied));
     }
-    metrics.set("load_reports", static_cast<double>(parts.endpoints.peerLoads().entries()));
+    metrics.set("load_reports", static_cast<double>(parts.endpoints.peerLoads().entryCount()));
     metrics.set("entries", static_cast<double>(parts.entries.size()));
     metrics.set("endpoints", static_cast<double>(parts.endpoints.size()));
     metrics.set("configuration_version", parts.routes ? static_cast<double>(parts.routes->version()) : 0);
@@ -323,9 +323,9 @@
     }
     lastReportSender = from;
     if (report.ok())
-        loadExchange.takeReport(std::move(*report), loop.clock().now());
+        loadExchange.handleReport(std::move(*report), loop.clock().now());
     else
-        loadExchange.takeDigest(std::move(*digest), loop.clock().now());
+        loadExchange.handleDigest(std::move(*digest), loop.clock().now());
 }
 
 void IngressDaemon::Impl::receiveRegionReport(const SocketAddress& from, absl::string_view bytes)
@@ -333,11 +333,11 @@
     absl::StatusOr<RegionReport> report = decodeRegionReport(bytes);
     absl::StatusOr<CrashReport> crashReport = decodeCrashReport(report.ok() ? absl::string_view() : bytes);
     if (crashReport.ok())
-        crashExchange.take(from, *crashReport, loop.clock().now());
+        crashExchange.handleReport(from, *crashReport, loop.clock().now());
     else if (!report.ok())
         metrics.count("load_reports_refused");
     else if (report->region != settings.region)
-        parts.outlooks.take(*report, loop.clock().now());
+        parts.outlooks.update(*report, loop.clock().now());
 }
 
 // Each entry sends reports to a few entries of other regions. The number of senders
@@ -358,7 +358,7 @@
     std::string bytes = encodeRegionReport(report);
     std::size_t first = random.below(regions.size());
     for (std::size_t i = 0; i < std::min(regions.size(), regionsPerReport); ++i) {
-        std::vector<SocketAddress> entries = parts.entries.peersOf(regions[(first + i) % regions.size()]);
+        std::vector<SocketAddress> entries = parts.entries.peerAddresses(regions[(first + i) % regions.size()]);
         for (std::size_t sent = 0; sent < std::min(entries.size(), entriesPerRegion); ++sent) {
             std::size_t chosen = sent + random.below(entries.size() - sent);
             std::swap(entries[sent], entries[chosen]);
@@ -377,7 +377,7 @@
 // them into one report.
 void IngressDaemon::Impl::scheduleUrgentReport()
 {
-    loop.callAfter(urgentReportDelay, [this] { send(crashExchange.tellUrgent(loop.clock().now())); });
+    loop.callAfter(urgentReportDelay, [this] { send(crashExchange.takeUrgentDatagrams(loop.clock().now())); });
 }
 
 void IngressDaemon::Impl::reportLoad()
@@ -406,9 +406,9 @@
         return;
     stateLoggedAt = now;
     logChange(LogLevel::Info, "state",
-        { { "open_requests", parts.openRequests }, { "entries", parts.entries.size() }, { "endpoints", parts.endpoints.size() },
-            { "version", parts.routes ? parts.routes->version() : 0 }, { "watches_store", relayedStore.isDirect() },
-            { "store_age_ms", std::chrono::duration_cast<milliseconds>(relayedStore.age().value_or(Duration::zero())).count() }, { "store_calls", storeCalls },
+        { { "open_requests", parts.openRequestCount }, { "entries", parts.entries.size() }, { "endpoints", parts.endpoints.size() },
+            { "version", parts.routes ? parts.routes->version() : 0 }, { "watches_store", relayedStore.watchesDirectly() },
+            { "store_age_ms", std::chrono::duration_cast<milliseconds>(relayedStore.dataAge().value_or(Duration::zero())).count() }, { "store_calls", storeCalls },
             { "retry_budgets", retryTotals() }, { "log_lines_dropped", log.dropped() } });
 }
 
@@ -421,8 +421,8 @@
     bool wasPaused = now - lastHouseKeepingAt > maxHouseKeepingGap && lastHouseKeepingAt != TimePoint {};
     lastHouseKeepingAt = now;
     if (wasPaused)
-        parts.endpoints.forgiveSilence(now);
-    parts.endpoints.leaveSilent(now);
+        parts.endpoints.resetSilence(now);
+    parts.endpoints.abortUnresponsive(now);
     follower.runHousekeeping();
     parts.endpoints.setEntriesOfRegion(parts.entries.keysOfRegion(settings.region), ownKey());
     bool isReadyNow = isReady();
@@ -436,16 +436,16 @@
 
 void IngressDaemon::Impl::checkDrained()
 {
-    Duration passed = loop.clock().now() - parts.stop->began;
+    Duration passed = loop.clock().now() - parts.plannedStop->startedAt;
     if (passed >= drainListenDuration && !hasStoppedListening) {
         hasStoppedListening = true;
         clientServer->stopListening();
     }
     bool isQuiet = loop.clock().now() - lastRequestAt >= drainQuietDuration || hasStoppedListening;
     bool mayEnd = isQuiet && passed >= std::min<Duration>(minDrainDuration, ingress.drainTimeout / 2);
-    bool mustEnd = loop.clock().now() >= parts.stop->endsBy;
-    if (mustEnd || (mayEnd && parts.openRequests == 0)) {
-        logChange(LogLevel::Info, "stopped", { { "open_requests", parts.openRequests }, { "retry_budgets", retryTotals() } });
+    bool mustEnd = loop.clock().now() >= parts.plannedStop->abortAt;
+    if (mustEnd || (mayEnd && parts.openRequestCount == 0)) {
+        logChange(LogLevel::Info, "stopped", { { "open_requests", parts.openRequestCount }, { "retry_budgets", retryTotals() } });
         onDrained();
         return;
     }
@@ -470,11 +470,11 @@
         { { "entry", settings.name }, { "zone", settings.availabilityZone }, { "region", settings.region },
             { "clients", settings.listen.callers.toString() }, { "peers", settings.listen.peers.toString() } });
     impl->parts.startedAt = loop.clock().now();
-    impl->parts.crashing.onUrgent([state = impl.get()] { state->scheduleUrgentReport(); });
+    impl->parts.crashingRequests.setUrgentCallback([state = impl.get()] { state->scheduleUrgentReport(); });
     impl->parts.endpoints.setColdTolerance(settings.ingress->coldRatio, settings.ingress->coldSlack);
     // Closes connections to an endpoint that was restarted: they belong to the earlier
     // incarnation.
-    impl->parts.endpoints.onReplaced([client = impl->endpointClient.get()](RoutedEndpoint& endpoint) { client->forget(endpoint.record.address); });
+    impl->parts.endpoints.setReplacedObserver([client = impl->endpointClient.get()](RoutedEndpoint& endpoint) { client->forget(endpoint.record.address); });
     impl->follower.start();
     impl->houseKeep();
     impl->reportLoad();
@@ -484,12 +484,12 @@
 void IngressDaemon::drain(std::function<void()> done)
 {
     Impl& impl = *m_impl;
-    if (impl.parts.stop)
+    if (impl.parts.plannedStop)
         return;
     impl.onDrained = std::move(done);
     TimePoint now = impl.loop.clock().now();
-    impl.parts.stop = PlannedStop { now, now + impl.ingress.drainTimeout - drainMargin };
-    logChange(LogLevel::Info, "draining", { { "open_requests", impl.parts.openRequests } });
+    impl.parts.plannedStop = PlannedStop { now, now + impl.ingress.drainTimeout - drainMargin };
+    logChange(LogLevel::Info, "draining", { { "open_requests", impl.parts.openRequestCount } });
     impl.registration.stop();
     impl.relayedStore.stopRelaying();
     impl.clientServer->discourage();
--- a/lib/Ingress/LoadExchange.cpp
+++ b/lib/Ingress/LoadExchange.cpp
@@ -37,10 +37,10 @@
 // groups, since the same load would otherwise be counted by both.
 void LoadExchange::updateGroups()
 {
-    if (m_appliedEntryChanges == m_entries.changes())
+    if (m_appliedEntryChanges == m_entries.changeCount())
         return;
-    m_appliedEntryChanges = m_entries.changes();
-    bool hadDirectReports = std::exchange(m_hasDirectReports, m_entries.peersOf(m_self.region).size() < maxDirectEntries);
+    m_appliedEntryChanges = m_entries.changeCount();
+    bool hadDirectReports = std::exchange(m_hasDirectReports, m_entries.peerAddresses(m_self.region).size() < maxDirectEntries);
     if (hadDirectReports != m_hasDirectReports) {
         m_endpoints.peerLoads() = PeerLoads();
         m_groupLoads = PeerLoads();
@@ -82,7 +82,7 @@
     updateGroups();
     if (m_hasDirectReports && m_sequence % directReportTicks != 0)
         return {};
-    LoadReport own { key, m_sequence, m_endpoints.ownLoads(now), m_endpoints.partsSent() };
+    LoadReport own { key, m_sequence, m_endpoints.ownWorkloads(now), m_endpoints.takeSentSegments() };
     bool isIdle = own.loads.empty() && own.parts.empty();
     bool isSuppressed = isIdle && m_wasLastReportEmpty;
     m_wasLastReportEmpty = isIdle;
@@ -92,18 +92,18 @@
             appendReportsToAll(own, out);
         return out;
     }
-    auto group = std::find_if(m_groups.begin(), m_groups.end(), [this](const Group& candidate) { return contains(candidate.members, m_self.peers); });
+    auto group = std::find_if(m_groups.begin(), m_groups.end(), [this](const Group& candidate) { return contains(candidate.members, m_self.peerAddress); });
     if (group == m_groups.end())
         return out;
     if (!isSuppressed) {
         std::string bytes = encodeLoadReport(own);
         for (const SocketAddress& collector : group->collectors) {
-            if (collector != m_self.peers)
+            if (collector != m_self.peerAddress)
                 out.push_back({ collector, bytes });
         }
     }
     m_lastOwnReport = std::move(own);
-    if (contains(group->collectors, m_self.peers))
+    if (contains(group->collectors, m_self.peerAddress))
         appendDigests(*group, now, out);
     return out;
 }
@@ -111,7 +111,7 @@
 void LoadExchange::appendReportsToAll(const LoadReport& report, std::vector<OutgoingDatagram>& out) const
 {
     std::string bytes = encodeLoadReport(report);
-    for (const SocketAddress& peer : m_entries.peersOf(m_self.region))
+    for (const SocketAddress& peer : m_entries.peerAddresses(m_self.region))
         out.push_back({ peer, bytes });
 }
 
@@ -120,9 +120,9 @@
 // collector of a group includes prompt segments, which would otherwise count twice.
 void LoadExchange::appendDigests(const Group& group, TimePoint now, std::vector<OutgoingDatagram>& out)
 {
-    m_groupLoads.take(m_lastOwnReport, now);
+    m_groupLoads.update(m_lastOwnReport, now);
     m_groupSegments.insert(m_groupSegments.end(), m_lastOwnReport.parts.begin(), m_lastOwnReport.parts.end());
-    bool includesSegments = group.collectors.front() == m_self.peers;
+    bool includesSegments = group.collectors.front() == m_self.peerAddress;
     LoadDigest groupDigest = buildGroupDigest(group.name, includesSegments);
     LoadDigest regionDigest = buildRegionDigest(groupDigest, includesSegments, now);
     applyRegionDigest(regionDigest, now);
@@ -138,7 +138,7 @@
     }
     bytes = encodeLoadDigest(regionDigest);
     for (const SocketAddress& member : group.members) {
-        if (member != m_self.peers)
+        if (member != m_self.peerAddress)
             out.push_back({ member, bytes });
     }
 }
@@ -167,11 +167,11 @@
 LoadDigest LoadExchange::buildRegionDigest(const LoadDigest& group, bool includesSegments, TimePoint now)
 {
     PeerLoads sums;
-    sums.take({ group.group, 1, group.loads, {} }, now);
+    sums.update({ group.group, 1, group.loads, {} }, now);
     for (auto received = m_groupDigests.begin(); received != m_groupDigests.end();) {
         bool isStale = now - received->second.at > digestLifetime;
         if (!isStale)
-            sums.take({ received->first, 1, received->second.digest.loads, {} }, now);
+            sums.update({ received->first, 1, received->second.digest.loads, {} }, now);
         received = isStale ? m_groupDigests.erase(received) : std::next(received);
     }
     LoadDigest digest { regionDigestName, group.collector, m_sequence, sums.all(), group.parts };
@@ -184,17 +184,17 @@
     return digest;
 }
 
-void LoadExchange::takeReport(LoadReport report, TimePoint now)
+void LoadExchange::handleReport(LoadReport report, TimePoint now)
 {
     updateGroups();
-    m_endpoints.takePartsSent(report.parts, now);
+    m_endpoints.recordPeerSegments(report.parts, now);
     if (m_hasDirectReports) {
-        m_endpoints.peerLoads().take(std::move(report), now);
+        m_endpoints.peerLoads().update(std::move(report), now);
         return;
     }
     if (m_groupSegments.size() < maxDigestSegments)
         m_groupSegments.insert(m_groupSegments.end(), report.parts.begin(), report.parts.end());
-    m_groupLoads.take(std::move(report), now);
+    m_groupLoads.update(std::move(report), now);
 }
 
 bool LoadExchange::isOutOfOrder(const LoadDigest& digest)
@@ -208,13 +208,13 @@
     return false;
 }
 
-void LoadExchange::takeDigest(LoadDigest digest, TimePoint now)
+void LoadExchange::handleDigest(LoadDigest digest, TimePoint now)
 {
     updateGroups();
     if (m_hasDirectReports || isOutOfOrder(digest))
         return;
     if (digest.group != regionDigestName) {
-        m_endpoints.takePartsSent(digest.parts, now);
+        m_endpoints.recordPeerSegments(digest.parts, now);
         if (m_otherGroupSegments.size() < maxDigestSegments)
             m_otherGroupSegments.insert(m_otherGroupSegments.end(), digest.parts.begin(), digest.parts.end());
         std::string group = digest.group;
@@ -225,7 +225,7 @@
         return std::any_of(m_lastOwnReport.parts.begin(), m_lastOwnReport.parts.end(), [&](const PartSent& own) { return own.place == sent.place && own.part == sent.part; });
     };
     digest.parts.erase(std::remove_if(digest.parts.begin(), digest.parts.end(), isOwn), digest.parts.end());
-    m_endpoints.takePartsSent(digest.parts, now);
+    m_endpoints.recordPeerSegments(digest.parts, now);
     applyRegionDigest(digest, now);
 }
 
@@ -248,7 +248,7 @@
         if (load.users > 0)
             others.loads.push_back(load);
     }
-    m_endpoints.peerLoads().take(std::move(others), now);
+    m_endpoints.peerLoads().update(std::move(others), now);
 }
 
 } // namespace catkinwing
--- a/lib/Ingress/PeerLoads.cpp
+++ b/lib/Ingress/PeerLoads.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-void PeerLoads::take(LoadReport report, TimePoint now)
+void PeerLoads::update(LoadReport report, TimePoint now)
 {
     ReceivedReport& received = m_reports[report.entry];
     bool isOutOfOrder = received.at != TimePoint {} && report.sequence <= received.report.sequence;
@@ -48,7 +48,7 @@
     }
 }
 
-EndpointWorkload PeerLoads::at(std::uint32_t endpoint) const
+EndpointWorkload PeerLoads::sumFor(std::uint32_t endpoint) const
 {
     auto found = m_sums.find(endpoint);
     return found == m_sums.end() ? EndpointWorkload { endpoint, 0, 0, 0, 0 } : found->second;
--- a/lib/Ingress/RegionOutlooks.cpp
+++ b/lib/Ingress/RegionOutlooks.cpp
@@ -1,6 +1,6 @@
 #include "catkinwing/Ingress/RegionOutlooks.h"
 
-#include "catkinwing/Routing/AnswerTimes.h"
+#include "catkinwing/Routing/ResponseTimes.h"
 #include <algorithm>
 #include <cmath>
 
@@ -16,7 +16,7 @@
 /// Max number of entries of a region whose last sequence number is kept.
 static constexpr std::size_t maxTrackedEntries = 256;
 
-void RegionOutlooks::take(const RegionReport& report, TimePoint now)
+void RegionOutlooks::update(const RegionReport& report, TimePoint now)
 {
     Region& region = m_regions[report.region];
     if (region.sequences.size() >= maxTrackedEntries)
@@ -39,7 +39,7 @@
     return received.sentKilotokens * std::exp(-elapsedDelays);
 }
 
-void RegionOutlooks::noteSent(const std::string& region, absl::string_view service, std::int64_t tokens, TimePoint now)
+void RegionOutlooks::recordSent(const std::string& region, absl::string_view service, std::int64_t tokens, TimePoint now)
 {
     auto found = m_regions.find(region);
     if (found == m_regions.end())
@@ -51,7 +51,7 @@
     received->second.sentAt = now;
 }
 
-std::optional<Duration> RegionOutlooks::waitIn(const std::string& region, absl::string_view service, TimePoint now) const
+std::optional<Duration> RegionOutlooks::estimatedWait(const std::string& region, absl::string_view service, TimePoint now) const
 {
     auto found = m_regions.find(region);
     if (found == m_regions.end())
--- a/lib/Ingress/RelayedStore.cpp
+++ b/lib/Ingress/RelayedStore.cpp
@@ -513,12 +513,12 @@
     m_impl->refuseWaiters();
 }
 
-bool RelayedStore::isDirect() const
+bool RelayedStore::watchesDirectly() const
 {
     return m_impl->isDirect();
 }
 
-std::optional<Duration> RelayedStore::age() const
+std::optional<Duration> RelayedStore::dataAge() const
 {
     return m_impl->age();
 }
--- a/lib/Ingress/RoutedRun.cpp
+++ b/lib/Ingress/RoutedRun.cpp
@@ -59,11 +59,11 @@
         request.earlierAttempts = 0;
 }
 
-RetryWindow& IngressParts::retryBudgetOf(const std::string& service)
+RetryWindow& IngressContext::retryBudgetOf(const std::string& service)
 {
     TimePoint now = scheduler.clock().now();
     double share = now - startedAt < retryLimits.window ? allowanceShareAtStart : allowanceShare;
-    std::size_t entryCount = std::max<std::size_t>(entries.recentSize(now), 1);
+    std::size_t entryCount = std::max<std::size_t>(entries.recentMaxAddresses(now), 1);
     auto found = retryBudgets.find(service);
     if (found == retryBudgets.end())
         found = retryBudgets.emplace(service, RetryWindow(random.unit())).first;
@@ -72,18 +72,18 @@
     return budget;
 }
 
-RoutedRun::RoutedRun(IngressParts& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder)
+RoutedRun::RoutedRun(IngressContext& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder)
     : m_parts(parts)
     , m_request(std::move(request))
     , m_responder(std::move(responder))
     , m_cursor(m_request.facts.resumeAfter ? absl::make_optional(*m_request.facts.resumeAfter) : absl::nullopt)
 {
-    ++m_parts.openRequests;
+    ++m_parts.openRequestCount;
 }
 
 RoutedRun::~RoutedRun()
 {
-    --m_parts.openRequests;
+    --m_parts.openRequestCount;
 }
 
 void RoutedRun::begin()
@@ -115,7 +115,7 @@
     }
     m_service = pickService();
     if (!m_request.isForwarded)
-        m_parts.retryBudgetOf(m_service).noteRequest(now());
+        m_parts.retryBudgetOf(m_service).recordRequest(now());
     dispatch();
 }
 
@@ -126,8 +126,8 @@
 
 bool RoutedRun::canRunBeforeStop() const
 {
-    const std::optional<PlannedStop>& stop = m_parts.stop;
-    return !stop || m_request.arrivedAt - stop->began <= acceptAllWhileStopping || m_deadline <= stop->endsBy;
+    const std::optional<PlannedStop>& stop = m_parts.plannedStop;
+    return !stop || m_request.arrivedAt - stop->startedAt <= acceptAllWhileStopping || m_deadline <= stop->abortAt;
 }
 
 bool RoutedRun::isAllowedHere() const
@@ -137,12 +137,12 @@
 }
 
 // The last segment belongs to the request itself or to its session and isn't shared.
-const PromptPart* RoutedRun::sharedSegment() const
+const PromptSegment* RoutedRun::sharedSegment() const
 {
-    const std::vector<PromptPart>& prompt = m_request.facts.prompt;
+    const std::vector<PromptSegment>& prompt = m_request.facts.prompt;
     if (!m_route->hasPromptAffinity || prompt.size() < 2)
         return nullptr;
-    const PromptPart* largest = &prompt.front();
+    const PromptSegment* largest = &prompt.front();
     for (std::size_t i = 0; i + 1 < prompt.size(); ++i) {
         if (prompt[i].tokens > largest->tokens)
             largest = &prompt[i];
@@ -165,9 +165,9 @@
     return services.back().service;
 }
 
-WaitDemand RoutedRun::waitDemand() const
+WaitLimitInputs RoutedRun::waitDemand() const
 {
-    WaitDemand demand;
+    WaitLimitInputs demand;
     demand.timeout = m_route->timeout;
     demand.timeLeft = timeLeft();
     const std::vector<UrgencyLevel>& levels = m_routes->urgenciesOf(m_service);
@@ -204,12 +204,12 @@
 
 Duration RoutedRun::maxWait() const
 {
-    return longestWait(waitDemand(), idleFirstByte(usualAnswers()));
+    return maxQueueWait(waitDemand(), idleFirstByte(defaultResponseEstimate()));
 }
 
 std::optional<Duration> RoutedRun::expectedWaitIn(const std::string& region) const
 {
-    return m_parts.outlooks.waitIn(region, m_service, now());
+    return m_parts.outlooks.estimatedWait(region, m_service, now());
 }
 
 bool RoutedRun::routeFirstAttempt()
@@ -220,23 +220,23 @@
         return false;
     auto durationAt = [events = expectedEvents()](Duration perEvent) { return std::chrono::duration_cast<Duration>(perEvent * events); };
     RegionDemand demand;
-    demand.longestWait = maxWait();
+    demand.maxWait = maxWait();
     if (isAllowedHere()) {
         ServiceOutlook here = m_parts.endpoints.outlook(*settings, now());
         if (here.endpoints > 0)
-            demand.waitHere = here.wait;
-        demand.lastsHere = durationAt(here.perEvent);
-        demand.mayAskHere = m_parts.endpoints.usableByRegion(m_service, now()).count(m_parts.region) > 0;
+            demand.localWait = here.wait;
+        demand.localResponseDuration = durationAt(here.perEvent);
+        demand.mayAcceptLocally = m_parts.endpoints.usableByRegion(m_service, now()).count(m_parts.region) > 0;
     }
     std::vector<RegionOption> others;
     for (const auto& [region, endpoints] : untriedRegions(m_service))
         others.push_back({ region, expectedWaitIn(region), regionRoundTrip, durationAt(m_parts.outlooks.timePerEventIn(region, m_service)) });
     RegionChoice choice = chooseRegion(demand, others, m_parts.random);
-    if (choice.verdict == RegionVerdict::Away)
+    if (choice.verdict == RegionVerdict::Forward)
         return !sharedSegment() && sendToEntryIn(choice.region, "shorter_wait");
-    if (choice.verdict == RegionVerdict::Nowhere)
+    if (choice.verdict == RegionVerdict::Refuse)
         sendOwnAnswer(statusUnavailable, Outcome::NotRun, "waits_too_long_everywhere");
-    return choice.verdict == RegionVerdict::Nowhere;
+    return choice.verdict == RegionVerdict::Refuse;
 }
 
 // If one endpoint of this region refused the request because it is full, the others
@@ -264,14 +264,14 @@
         return false;
     EndpointRequest endpointRequest;
     endpointRequest.service = settings;
-    const PromptPart* shared = sharedSegment();
-    endpointRequest.sharedPart = shared ? shared->id : std::string();
+    const PromptSegment* shared = sharedSegment();
+    endpointRequest.sharedSegment = shared ? shared->id : std::string();
     endpointRequest.sharedTokens = shared ? shared->tokens : 0;
-    endpointRequest.events = expectedEvents();
-    endpointRequest.tried = &m_triedEndpoints;
-    endpointRequest.mayBeTried = mayBeTried;
+    endpointRequest.expectedEvents = expectedEvents();
+    endpointRequest.attemptedIncarnations = &m_triedEndpoints;
+    endpointRequest.allowsAttempted = mayBeTried;
     // A request that may have run or whose answer has begun has no wait limit.
-    WaitDemand demand = waitDemand();
+    WaitLimitInputs demand = waitDemand();
     endpointRequest.demand = m_mayHaveRun || m_hasSentHead ? nullptr : &demand;
     std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(endpointRequest, now(), m_parts.random);
     if (!endpoint)
@@ -279,7 +279,7 @@
     m_triedEndpoints.push_back(endpoint->record.incarnation);
     AttemptFacts facts;
     facts.incarnation = endpoint->record.incarnation;
-    facts.urgency = std::clamp(m_route->priority, 0, leastUrgentPriority);
+    facts.priority = std::clamp(m_route->priority, 0, leastUrgentPriority);
     HttpClientRequest request = makeRequest(endpoint->record.address, std::move(facts));
     request.connectTimeout = endpointConnectTimeout;
     Attempt attempt;
@@ -288,11 +288,11 @@
     attempt.why = endpointChoiceReason(mayBeTried, shared != nullptr);
     attempt.endpoint = std::move(endpoint);
     unsigned slots = attempt.endpoint->record.slots > 0 ? attempt.endpoint->record.slots : settings->slots;
-    attempt.hadFreeSlot = slots == 0 || m_parts.endpoints.workOf(*attempt.endpoint).requests < slots;
-    m_parts.endpoints.noteBegan(*attempt.endpoint, now());
-    attempt.unreadTokens = m_parts.endpoints.tokensToRead(*attempt.endpoint, m_request.facts.promptTokens, shared ? shared->tokens : 0, endpointRequest.sharedPart, now());
-    attempt.endpoint->unreadTokens += attempt.unreadTokens;
-    attempt.unreadKilotokensAtStart = m_parts.endpoints.workOf(*attempt.endpoint).unreadKilotokens;
+    attempt.hadFreeSlot = slots == 0 || m_parts.endpoints.pendingWork(*attempt.endpoint).requests < slots;
+    m_parts.endpoints.recordAttemptStarted(*attempt.endpoint, now());
+    attempt.unreadTokens = m_parts.endpoints.recordSegmentAndGetPrefillTokens(*attempt.endpoint, m_request.facts.promptTokens, shared ? shared->tokens : 0, endpointRequest.sharedSegment, now());
+    attempt.endpoint->unprefilledTokens += attempt.unreadTokens;
+    attempt.unreadKilotokensAtStart = m_parts.endpoints.pendingWork(*attempt.endpoint).unprefilledKilotokens;
     startAttempt(std::move(attempt), std::move(request));
     return true;
 }
@@ -336,27 +336,27 @@
     return false;
 }
 
-EndpointDemand RoutedRun::demandFor(const PromptPart& segment) const
+EndpointDemand RoutedRun::demandFor(const PromptSegment& segment) const
 {
     EndpointDemand demand;
-    demand.sharedPart = segment.id;
-    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(usualAnswers()) * (static_cast<double>(segment.tokens) / tokensPerKilotoken));
-    demand.longestWait = maxWait();
+    demand.sharedSegment = segment.id;
+    demand.prefillTime = std::chrono::duration_cast<Duration>(timePerKilotoken(defaultResponseEstimate()) * (static_cast<double>(segment.tokens) / tokensPerKilotoken));
+    demand.maxWait = maxWait();
     return demand;
 }
 
 // Returns the regions whose expected wait is known and short enough for a request
 // with the segment, this one included.
-std::vector<PartRegionOption> RoutedRun::regionOptionsFor(const PromptPart& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const
+std::vector<SegmentRegionOption> RoutedRun::regionOptionsFor(const PromptSegment& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const
 {
-    Duration longest = longestWaitForOwner(demandFor(segment));
-    std::vector<PartRegionOption> options;
+    Duration longest = maxWaitForOwner(demandFor(segment));
+    std::vector<SegmentRegionOption> options;
     auto add = [&](const std::string& region, std::optional<Duration> wait, Duration roundTrip, bool isKept) {
         if (wait && *wait <= longest)
             options.push_back({ region, *wait, roundTrip, isKept });
     };
     if (isAllowedHere()) {
-        std::optional<Duration> waitAtHolder = m_parts.endpoints.waitForHolder(settings, segment.id, now());
+        std::optional<Duration> waitAtHolder = m_parts.endpoints.minWaitForSegment(settings, segment.id, now());
         ServiceOutlook here = m_parts.endpoints.outlook(settings, now());
         std::optional<Duration> waitAnywhere = here.endpoints > 0 ? std::optional<Duration>(here.wait) : std::nullopt;
         add(m_parts.region, waitAtHolder ? waitAtHolder : waitAnywhere, Duration::zero(), waitAtHolder || keeperRegion == m_parts.region);
@@ -372,19 +372,19 @@
 {
     if (m_request.isForwarded || m_attemptCount > 0)
         return false;
-    const PromptPart* segment = sharedSegment();
+    const PromptSegment* segment = sharedSegment();
     const ServiceSettings* settings = m_routes->findService(m_service);
     if (!segment || !settings)
         return false;
-    std::optional<std::string> keeperRegion = m_parts.endpoints.regionOfPart(m_service, segment->id, m_route->homeRegions, now());
+    std::optional<std::string> keeperRegion = m_parts.endpoints.regionOfSegment(m_service, segment->id, m_route->homeRegions, now());
     // A region without a load report gets the request if its acceptance is high enough.
     bool isUnknown = keeperRegion && *keeperRegion != m_parts.region && !expectedWaitIn(*keeperRegion);
     if (isUnknown)
-        return regionAcceptance().readiness(*keeperRegion, now()) > minOwnerAcceptance && sendToEntryIn(*keeperRegion, "part");
-    std::vector<PartRegionOption> options = regionOptionsFor(*segment, keeperRegion, *settings);
-    const PartRegionOption* chosen = choosePartRegion(options, demandFor(*segment).readingAgain, m_parts.random);
+        return regionAcceptance().acceptanceOf(*keeperRegion, now()) > minOwnerAcceptance && sendToEntryIn(*keeperRegion, "part");
+    std::vector<SegmentRegionOption> options = regionOptionsFor(*segment, keeperRegion, *settings);
+    const SegmentRegionOption* chosen = chooseSegmentRegion(options, demandFor(*segment).prefillTime, m_parts.random);
     bool shouldForward = chosen && chosen->region != m_parts.region;
-    return shouldForward && sendToEntryIn(chosen->region, chosen->keepsPart ? "part" : "part_moved");
+    return shouldForward && sendToEntryIn(chosen->region, chosen->cachesSegment ? "part" : "part_moved");
 }
 
 bool RoutedRun::sendToEntryIn(const std::string& region, const char* why)
@@ -407,12 +407,12 @@
     attempt.why = why;
     attempt.peer = *peer;
     m_parts.metrics.count("forwards_to_regions");
-    m_parts.outlooks.noteSent(region, m_service, m_request.facts.promptTokens, now());
+    m_parts.outlooks.recordSent(region, m_service, m_request.facts.promptTokens, now());
     // Prompt data of a request that is bound to other regions isn't kept here, not even
     // as a hash.
-    const PromptPart* shared = isAllowedHere() ? sharedSegment() : nullptr;
+    const PromptSegment* shared = isAllowedHere() ? sharedSegment() : nullptr;
     if (shared)
-        m_parts.endpoints.noteSentToRegion(region, shared->id, now());
+        m_parts.endpoints.recordSentToRegion(region, shared->id, now());
     startAttempt(std::move(attempt), std::move(request));
     return true;
 }
@@ -425,7 +425,7 @@
     request.target = m_request.http.path;
     if (!m_request.http.query.empty())
         absl::StrAppend(&request.target, "?", m_request.http.query);
-    request.headers = m_request.facts.forwarded;
+    request.headers = m_request.facts.forwardedHeaders;
     facts.timeLeft = std::max(timeLeft() - deadlineMargin, milliseconds(1));
     if (m_cursor.lastId())
         facts.resumeAfter = *m_cursor.lastId();
@@ -473,7 +473,7 @@
     if (!m_attempt->endpoint)
         return;
     std::uint64_t number = m_attempt->number;
-    m_attempt->endpoint->giveUps[number] = [weak = weak_from_this(), number](GiveUpReason reason) {
+    m_attempt->endpoint->abortCallbacks[number] = [weak = weak_from_this(), number](AbortReason reason) {
         std::shared_ptr<RoutedRun> self = weak.lock();
         if (self && self->m_attempt && self->m_attempt->number == number)
             self->onEndpointFailure(reason);
@@ -482,9 +482,9 @@
 
 // An unresponsive endpoint may still answer, so the attempt is abandoned only if the
 // request can be retried.
-void RoutedRun::onEndpointFailure(GiveUpReason reason)
+void RoutedRun::onEndpointFailure(AbortReason reason)
 {
-    if (reason == GiveUpReason::StartedAgain) {
+    if (reason == AbortReason::Restarted) {
         abandonAttempt("endpoint_started_again");
         return;
     }
--- a/lib/Ingress/RoutedRunAnswers.cpp
+++ b/lib/Ingress/RoutedRunAnswers.cpp
@@ -61,8 +61,8 @@
 {
     if (!attempt.endpoint)
         return;
-    m_parts.endpoints.noteHeard(*attempt.endpoint, now());
-    m_parts.crashing.noteAlive(attempt.endpoint->hash, now());
+    m_parts.endpoints.recordBytesReceived(*attempt.endpoint, now());
+    m_parts.crashingRequests.recordEndpointAlive(attempt.endpoint->hash, now());
 }
 
 // The state that the endpoint reports itself takes precedence over its registration,
@@ -72,9 +72,9 @@
     if (!attempt.endpoint || attempt.facts.isOtherIncarnation)
         return;
     if (attempt.facts.isLeaving)
-        m_parts.endpoints.noteLeaving(*attempt.endpoint, now());
-    if (attempt.facts.wasNotRun && attempt.facts.pause)
-        EndpointTable::notePause(*attempt.endpoint, *attempt.facts.pause, now());
+        m_parts.endpoints.recordLeaving(*attempt.endpoint, now());
+    if (attempt.facts.wasNotExecuted && attempt.facts.pause)
+        EndpointTable::recordPause(*attempt.endpoint, *attempt.facts.pause, now());
 }
 
 void RoutedRun::onHead(const HttpResponseHead& head)
@@ -82,7 +82,7 @@
     Attempt& attempt = *m_attempt;
     recordEndpointActivity(attempt);
     attempt.head = head;
-    attempt.facts = m_parts.dialect.readAnswer(head);
+    attempt.facts = m_parts.dialect.readResponse(head);
     if (attempt.target == AttemptTarget::Entry)
         extractEntryHeaders(attempt);
     attempt.isForThisRequest = attempt.facts.attemptId == m_request.facts.attemptId;
@@ -105,7 +105,7 @@
 void RoutedRun::clearUnreadTokens(Attempt& attempt)
 {
     if (attempt.endpoint)
-        attempt.endpoint->unreadTokens -= attempt.unreadTokens;
+        attempt.endpoint->unprefilledTokens -= attempt.unreadTokens;
     attempt.unreadTokens = 0;
 }
 
@@ -117,7 +117,7 @@
         return;
     attempt.hasAnswerBegun = true;
     if (attempt.endpoint && attempt.hadFreeSlot)
-        EndpointTable::noteFirstByte(*attempt.endpoint, attempt.unreadKilotokensAtStart, now() - attempt.startedAt, now());
+        EndpointTable::recordFirstByte(*attempt.endpoint, attempt.unreadKilotokensAtStart, now() - attempt.startedAt, now());
 }
 
 double RoutedRun::expectedEvents() const
@@ -132,7 +132,7 @@
 {
     clearUnreadTokens(attempt);
     if (attempt.endpoint)
-        attempt.endpoint->giveUps.erase(attempt.number);
+        attempt.endpoint->abortCallbacks.erase(attempt.number);
 }
 
 void RoutedRun::onBody(absl::string_view bytes)
@@ -152,7 +152,7 @@
     std::string events = m_cursor.feed(bytes);
     bool hasContinued = attempt.lastEventAt != TimePoint {} && !m_isReadingPaused;
     if (attempt.endpoint && hasContinued)
-        EndpointTable::noteEvents(*attempt.endpoint, m_cursor.events() - before, now() - attempt.lastEventAt, now());
+        EndpointTable::recordEvents(*attempt.endpoint, m_cursor.events() - before, now() - attempt.lastEventAt, now());
     if (m_cursor.events() > before)
         attempt.lastEventAt = now();
     if (!events.empty()) {
@@ -222,31 +222,31 @@
 void RoutedRun::recordAttemptResult(AttemptVerdict verdict, const std::string& detail)
 {
     Attempt& attempt = *m_attempt;
-    bool wasRefused = verdict == AttemptVerdict::NotRun && (attempt.facts.wasNotRun || attempt.reportedOutcome) && !attempt.facts.isOtherIncarnation;
-    bool hadNoAnswer = verdict != AttemptVerdict::Answered && !attempt.facts.wasNotRun && !attempt.reportedOutcome;
-    const PromptPart* shared = sharedSegment();
+    bool wasRefused = verdict == AttemptVerdict::NotRun && (attempt.facts.wasNotExecuted || attempt.reportedOutcome) && !attempt.facts.isOtherIncarnation;
+    bool hadNoAnswer = verdict != AttemptVerdict::Answered && !attempt.facts.wasNotExecuted && !attempt.reportedOutcome;
+    const PromptSegment* shared = sharedSegment();
     if (attempt.endpoint && shared && verdict == AttemptVerdict::NotRun)
-        m_parts.endpoints.noteNotRead(*attempt.endpoint, shared->id);
+        m_parts.endpoints.removeSegment(*attempt.endpoint, shared->id);
     releaseEndpoint(attempt);
     m_parts.metrics.observeStage("attempt", m_service, now() - attempt.startedAt);
     if (wasRefused && !attempt.reportedRetryAfter)
-        regionAcceptance().noteRefused(attempt.region, now());
+        regionAcceptance().recordRefused(attempt.region, now());
     else if (verdict == AttemptVerdict::Answered)
-        regionAcceptance().noteTaken(attempt.region, now());
+        regionAcceptance().recordAccepted(attempt.region, now());
     m_wasRefusedHere = m_wasRefusedHere || (wasRefused && attempt.endpoint);
     bool hasSucceeded = verdict == AttemptVerdict::Answered && attempt.head->status < firstServerErrorStatus;
     if (attempt.endpoint && hasSucceeded) {
         recordAnswerStart(attempt);
-        EndpointTable::noteHeld(*attempt.endpoint, now() - attempt.startedAt, now());
+        EndpointTable::recordSlotTime(*attempt.endpoint, now() - attempt.startedAt, now());
     }
     if (attempt.endpoint) {
         if (attempt.facts.isOtherIncarnation)
-            m_parts.endpoints.noteLeaving(*attempt.endpoint, now());
-        m_parts.endpoints.noteEnded(*attempt.endpoint, hadNoAnswer, now());
+            m_parts.endpoints.recordLeaving(*attempt.endpoint, now());
+        m_parts.endpoints.recordAttemptEnded(*attempt.endpoint, hadNoAnswer, now());
     } else if (hadNoAnswer) {
-        m_parts.entries.notePeerFailure(attempt.peer, now());
+        m_parts.entries.recordPeerFailure(attempt.peer, now());
     } else {
-        m_parts.entries.notePeerAnswered(attempt.peer);
+        m_parts.entries.recordPeerResponse(attempt.peer);
     }
     bool mayHaveRun = verdict != AttemptVerdict::NotRun;
     m_possiblyRunAttempts += mayHaveRun ? possiblyRunAttemptsOf(attempt) : 0;
@@ -271,7 +271,7 @@
     if (attempt.isEventStream) {
         deliverHead(*attempt.head);
         m_responder->finish();
-        learnEvents(m_parts.streamLengths[m_route->name], m_request.facts.maxOutputTokens, m_cursor.events());
+        addEventSample(m_parts.streamLengths[m_route->name], m_request.facts.maxOutputTokens, m_cursor.events());
         finish(attempt.head->status, "completed", "");
         return;
     }
@@ -316,7 +316,7 @@
     withBudget.hasRetryBudget = true;
     m_wasDeniedRetry = decideNext(verdict, withBudget) == NextStep::Retry;
     if (m_wasDeniedRetry) {
-        m_parts.retryBudgetOf(m_service).noteDenied();
+        m_parts.retryBudgetOf(m_service).recordDenied();
         m_parts.metrics.count("retries_denied");
     }
     return next;
@@ -409,9 +409,9 @@
     if (m_retryAfter)
         return *m_retryAfter;
     milliseconds longest = std::max(timeLeft() / timeLeftDivisor, milliseconds(1));
-    Duration work = m_parts.endpoints.workPerRequest(m_service, m_request.facts.promptTokens, now());
-    milliseconds pause = std::chrono::ceil<milliseconds>(m_parts.endpoints.pauseOf(m_service, now()));
-    return std::max(m_parts.retryAfterSchedules[m_service].book(work, longest, now(), m_parts.random), pause);
+    Duration work = m_parts.endpoints.requestInterval(m_service, m_request.facts.promptTokens, now());
+    milliseconds pause = std::chrono::ceil<milliseconds>(m_parts.endpoints.minRemainingPause(m_service, now()));
+    return std::max(m_parts.retryAfterSchedules[m_service].bookRetry(work, longest, now(), m_parts.random), pause);
 }
 
 // Sends an answer that this entry makes itself, with the outcome of the request.
@@ -469,7 +469,7 @@
     if (m_attempt && m_attempt->endpoint) {
         releaseEndpoint(*m_attempt);
         bool wasSilent = m_wasTimedOut && !m_attempt->head;
-        m_parts.endpoints.noteEnded(*m_attempt->endpoint, wasSilent, now());
+        m_parts.endpoints.recordAttemptEnded(*m_attempt->endpoint, wasSilent, now());
     }
     m_parts.metrics.count(absl::StrCat("requests_", absl::string_view(outcome) == "not-run" ? "not_run" : outcome));
     if (m_firstByteAt != TimePoint {}) {
@@ -493,7 +493,7 @@
         if (m_attemptCount > 0) {
             fields["to"] = m_lastTarget;
             fields["why"] = m_lastWhy;
-            fields["load_reports"] = m_parts.endpoints.peerLoads().entries();
+            fields["load_reports"] = m_parts.endpoints.peerLoads().entryCount();
         }
         m_parts.log.write(LogLevel::Info, "request_ended", fields);
     }
--- a/lib/Ingress/RoutedRunCrashes.cpp
+++ b/lib/Ingress/RoutedRunCrashes.cpp
@@ -34,9 +34,9 @@
 // not recorded here.
 bool RoutedRun::refuseIfCrashing()
 {
-    if (m_parts.crashing.isEmpty() || !isAllowedHere())
+    if (m_parts.crashingRequests.isEmpty() || !isAllowedHere())
         return false;
-    std::optional<Duration> left = m_parts.crashing.refusedFor(fingerprint(), now());
+    std::optional<Duration> left = m_parts.crashingRequests.remainingRefusal(fingerprint(), now());
     if (left)
         refuseEverywhere(std::chrono::duration_cast<milliseconds>(*left));
     return left.has_value();
@@ -55,18 +55,18 @@
 
 bool RoutedRun::holdIfSuspect()
 {
-    CrashingRequests& crashing = m_parts.crashing;
+    CrashingRequests& crashing = m_parts.crashingRequests;
     if (crashing.isEmpty() || !isAllowedHere())
         return false;
     TimePoint time = now();
     std::optional<CrashingRequests::RecentCrash> crash = crashing.crashToAwait(fingerprint(), time);
     if (!crash)
         return false;
-    bool isLikelyUnrelated = crash->isOnlyOwn && m_possiblyDeliveredAttempts > 0;
+    bool isLikelyUnrelated = crash->isOnlyKnownHere && m_possiblyDeliveredAttempts > 0;
     EntryOrder order = m_parts.entries.orderFor(stableHash(fingerprint()), m_route->homeRegions);
-    Duration wait = isLikelyUnrelated ? Duration::zero() : crashing.turnOf(fingerprint(), *crash, order, time) - time;
+    Duration wait = isLikelyUnrelated ? Duration::zero() : crashing.nextTurn(fingerprint(), *crash, order, time) - time;
     if (wait <= Duration::zero()) {
-        crashing.noteTried(fingerprint(), time);
+        crashing.recordAttempt(fingerprint(), time);
         return false;
     }
     if (!m_heldSince)
@@ -97,11 +97,11 @@
 // stopped. A broken or missing answer shows that it may have crashed.
 void RoutedRun::recordCrashEvidence(const Attempt& attempt, HttpEnd end, AttemptVerdict verdict)
 {
-    CrashingRequests& crashing = m_parts.crashing;
+    CrashingRequests& crashing = m_parts.crashingRequests;
     // An answer that another entry relays was also made by an endpoint.
     bool hasSurvived = verdict == AttemptVerdict::Answered && attempt.head->status < firstServerErrorStatus;
     if (hasSurvived && isAllowedHere())
-        crashing.noteSurvived(fingerprint(), now());
+        crashing.recordSurvival(fingerprint(), now());
     if (!attempt.endpoint)
         return;
     std::uint32_t endpoint = attempt.endpoint->hash;
@@ -110,10 +110,10 @@
         std::vector<std::uint32_t> regions;
         for (const std::string& region : m_route->homeRegions)
             regions.push_back(regionHash(region));
-        crashing.noteBroken(fingerprint(), endpoint, std::move(regions), now(), now() - attempt.startedAt);
+        crashing.recordBrokenConnection(fingerprint(), endpoint, std::move(regions), now(), now() - attempt.startedAt);
     }
     if (end == HttpEnd::ConnectFailed || attempt.facts.isOtherIncarnation)
-        crashing.noteGone(endpoint, now());
+        crashing.recordEndpointUnreachable(endpoint, now());
 }
 
 } // namespace catkinwing
--- a/lib/Ingress/RunDecisions.cpp
+++ b/lib/Ingress/RunDecisions.cpp
@@ -16,7 +16,7 @@
         return AttemptVerdict::Unknown;
     if (evidence.reportedOutcome)
         return *evidence.reportedOutcome == Outcome::NotRun ? AttemptVerdict::NotRun : AttemptVerdict::Unknown;
-    if (evidence.answer.wasNotRun)
+    if (evidence.answer.wasNotExecuted)
         return AttemptVerdict::NotRun;
     bool isComplete = evidence.end == HttpEnd::Complete;
     return isComplete && evidence.answer.isEndpointAnswer && evidence.isForThisRequest ? AttemptVerdict::Answered : AttemptVerdict::Unknown;
--- a/lib/Ingress/StoreFollower.cpp
+++ b/lib/Ingress/StoreFollower.cpp
@@ -35,7 +35,7 @@
     return options;
 }
 
-StoreFollower::StoreFollower(Store& store, Scheduler& scheduler, Random& random, std::string entryPrefix, IngressParts& parts,
+StoreFollower::StoreFollower(Store& store, Scheduler& scheduler, Random& random, std::string entryPrefix, IngressContext& parts,
     std::function<void(const std::string& key)> onEntryRemoved)
     : m_scheduler(scheduler)
     , m_dialect(parts.dialect)
@@ -117,7 +117,7 @@
 {
     if (!change.text) {
         if (isStoreUnstable())
-            m_parts.endpoints.noteMissing(incarnation);
+            m_parts.endpoints.recordMissing(incarnation);
         else
             m_parts.endpoints.remove(incarnation, now());
         return;
@@ -133,7 +133,7 @@
 // registrations at any rate.
 void StoreFollower::rejectEndpoint(const std::string& incarnation, const absl::Status& fault)
 {
-    m_parts.endpoints.noteUnreadable(incarnation);
+    m_parts.endpoints.recordUnreadable(incarnation);
     m_parts.metrics.count("endpoint_registrations_refused");
     if (now() < m_nextRefusalLog)
         return;
@@ -146,7 +146,7 @@
     if (!change.text) {
         m_onEntryRemoved(change.path);
         if (isStoreUnstable())
-            m_parts.entries.noteMissing(name);
+            m_parts.entries.recordMissing(name);
         else
             m_parts.entries.remove(name, now());
         return;
--- a/lib/Ingress/StoreFollower.h
+++ b/lib/Ingress/StoreFollower.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "catkinwing/Coordination/ConfigSource.h"
-#include "catkinwing/Ingress/IngressParts.h"
+#include "catkinwing/Ingress/IngressContext.h"
 #include <set>
 
 namespace catkinwing {
@@ -12,7 +12,7 @@
 class StoreFollower {
 public:
     /// \p onEntryRemoved is called with the key of each entry registration that is deleted.
-    StoreFollower(Store& store, Scheduler& scheduler, Random& random, std::string entryPrefix, IngressParts& parts,
+    StoreFollower(Store& store, Scheduler& scheduler, Random& random, std::string entryPrefix, IngressContext& parts,
         std::function<void(const std::string& key)> onEntryRemoved);
 
     void start() { m_source.start(); }
@@ -39,7 +39,7 @@
 
     Scheduler& m_scheduler;
     const Dialect& m_dialect;
-    IngressParts& m_parts;
+    IngressContext& m_parts;
     std::string m_entryPrefix;
     std::function<void(const std::string& key)> m_onEntryRemoved;
     ConfigSource m_source;
--- a/lib/Membership/Announcements.cpp
+++ b/lib/Membership/Announcements.cpp
@@ -9,7 +9,7 @@
         return;
     m_isDraining = true;
     for (auto& [name, member] : m_members.all())
-        member.owesLeaving = true;
+        member.mustSendLeaving = true;
     markChanged();
     flushAnnouncements();
     reportChange();
@@ -65,7 +65,7 @@
 {
     std::vector<EndpointLeaving> endpoints = pendingLeaving(member);
     std::vector<PeerMessage> batch(endpoints.begin(), endpoints.end());
-    if (member.owesLeaving)
+    if (member.mustSendLeaving)
         batch.emplace_back(EntryLeaving { m_self.ref, false });
     if (batch.empty())
         return;
@@ -88,15 +88,15 @@
         ++m_counters.sendFailures;
         return;
     }
-    member->owesLeaving = false;
+    member->mustSendLeaving = false;
     for (const EndpointLeaving& endpoint : endpoints)
-        member->channel.noteLeaving(endpoint);
+        member->channel.recordLeaving(endpoint);
 }
 
 void Membership::Impl::recordLeaving(const EndpointLeaving& endpoint, Member* source)
 {
     if (source)
-        source->channel.noteLeaving(endpoint);
+        source->channel.recordLeaving(endpoint);
     auto [entry, isNew] = m_leaving.try_emplace(endpoint, LeavingState { now(), false });
     if (!isNew)
         return;
@@ -124,7 +124,7 @@
         setState(*member, MemberState::Dead);
         // Messages of the exited run that are still in transit must not mark the
         // member live again.
-        member->heardSequence = UINT64_MAX;
+        member->receivedSequence = UINT64_MAX;
     }
     return Acknowledgement {};
 }
@@ -137,7 +137,7 @@
             continue;
         }
         for (auto& [name, member] : m_members.all())
-            member.channel.forgetLeaving(entry->first);
+            member.channel.removeLeaving(entry->first);
         entry = m_leaving.erase(entry);
         markChanged();
     }
--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -27,7 +27,7 @@
 /// Maximum number of pending broken connections: all the connections of an entry to a
 /// few endpoints.
 static constexpr std::size_t maxPending = 1'024;
-/// Maximum number of broken connections and answers returned by one takeUrgent().
+/// Maximum number of broken connections and answers returned by one takeUrgentNotices().
 static constexpr std::size_t maxUrgent = 16;
 /// Maximum number of requests kept, at some 150 bytes each plus 12 for each crash.
 static constexpr std::size_t maxKnown = 4'096;
@@ -58,7 +58,7 @@
     return { crash.endpoint, ageOf(crash.at, now), std::chrono::duration_cast<milliseconds>(crash.ranFor), isSettled };
 }
 
-void CrashingRequests::noteBroken(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor)
+void CrashingRequests::recordBrokenConnection(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor)
 {
     if (m_pending.size() >= maxPending)
         return;
@@ -77,7 +77,7 @@
 
 // The most recently dispatched requests come first: of those that ran on a crashed
 // endpoint, they are the most likely cause.
-std::vector<CrashNotice> CrashingRequests::takeUrgent(TimePoint now)
+std::vector<CrashNotice> CrashingRequests::takeUrgentNotices(TimePoint now)
 {
     std::vector<UrgentNotice> urgent = std::exchange(m_urgent, {});
     std::stable_sort(urgent.begin(), urgent.end(), [](const UrgentNotice& a, const UrgentNotice& b) { return a.broken.ranFor < b.broken.ranFor; });
@@ -96,7 +96,7 @@
     return notices;
 }
 
-void CrashingRequests::noteAlive(std::uint32_t endpoint, TimePoint now)
+void CrashingRequests::recordEndpointAlive(std::uint32_t endpoint, TimePoint now)
 {
     if (m_pending.empty())
         return;
@@ -104,7 +104,7 @@
     m_pending.erase(std::remove_if(m_pending.begin(), m_pending.end(), isRefuted), m_pending.end());
 }
 
-void CrashingRequests::noteGone(std::uint32_t endpoint, TimePoint)
+void CrashingRequests::recordEndpointUnreachable(std::uint32_t endpoint, TimePoint)
 {
     for (BrokenConnection& broken : m_pending)
         broken.isEndpointUnreachable |= broken.endpoint == endpoint;
@@ -125,7 +125,7 @@
     last.isOwn |= isOwn;
 }
 
-void CrashingRequests::noteSurvived(const RequestFingerprint& request, TimePoint now)
+void CrashingRequests::recordSurvival(const RequestFingerprint& request, TimePoint now)
 {
     std::optional<RecentCrash> crash = recentCrash(request, now);
     dropPending(request, now);
@@ -160,7 +160,7 @@
     return history.refusals > refusals;
 }
 
-std::optional<Duration> CrashingRequests::refusedFor(const RequestFingerprint& request, TimePoint now) const
+std::optional<Duration> CrashingRequests::remainingRefusal(const RequestFingerprint& request, TimePoint now) const
 {
     auto found = m_known.find(request);
     CrashHistory history = found == m_known.end() ? CrashHistory() : found->second.history;
@@ -199,7 +199,7 @@
 // number of the turn modulo the number of entries. A request is sent only in the first
 // turnStartWindow of a turn; after an attempt by this entry, not before one turnLength
 // has passed.
-TimePoint CrashingRequests::turnOf(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const
+TimePoint CrashingRequests::nextTurn(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const
 {
     auto tried = m_tried.find(request);
     bool isUnderWay = tried != m_tried.end() && tried->second > crash.at;
@@ -304,7 +304,7 @@
     absl::erase_if(m_tried, [now](const auto& item) { return now - item.second > waitAfterCrash; });
 }
 
-void CrashingRequests::houseKeep(TimePoint now)
+void CrashingRequests::settleAndExpire(TimePoint now)
 {
     pruneAnswers(now);
     if (isEmpty())
@@ -341,7 +341,7 @@
         m_pending.push_back({ notice.request, crash.endpoint, at, crash.ranFor, notice.regions, false, true });
 }
 
-void CrashingRequests::take(const CrashNotice& notice, TimePoint now)
+void CrashingRequests::mergeNotice(const CrashNotice& notice, TimePoint now)
 {
     CrashHistory reported;
     for (const ToldCrash& crash : notice.crashes) {
@@ -387,7 +387,7 @@
     return notice;
 }
 
-std::vector<CrashNotice> CrashingRequests::takeNews(TimePoint now)
+std::vector<CrashNotice> CrashingRequests::takeChangedNotices(TimePoint now)
 {
     std::vector<CrashNotice> notices;
     for (auto& [request, known] : m_known) {
@@ -399,7 +399,7 @@
     return notices;
 }
 
-std::vector<CrashNotice> CrashingRequests::suspects(TimePoint now) const
+std::vector<CrashNotice> CrashingRequests::suspectNotices(TimePoint now) const
 {
     std::vector<CrashNotice> notices;
     for (const auto& [request, known] : m_known) {
@@ -409,7 +409,7 @@
     return notices;
 }
 
-std::size_t CrashingRequests::refused(TimePoint now) const
+std::size_t CrashingRequests::refusedCount(TimePoint now) const
 {
     return static_cast<std::size_t>(std::count_if(m_known.begin(), m_known.end(), [&](const auto& item) { return item.second.history.refusals > 0 && item.second.history.refusedUntil > now; }));
 }
--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -256,7 +256,7 @@
         zone.totals[total.team] = { total.tokens, zone.version };
     }
     if (!digest.hasMoreServed)
-        zone.served.noteComplete();
+        zone.served.recordComplete();
     if (!digest.region.empty())
         zone.region = digest.region;
     zone.digest = digest;
--- a/lib/Membership/FailureDetection.cpp
+++ b/lib/Membership/FailureDetection.cpp
@@ -9,7 +9,7 @@
     return std::max(options.heartbeatInterval, options.spacingPerMember * static_cast<int>(members));
 }
 
-MemberState judgeSilence(const MembershipOptions& options, Duration silence, Duration interval)
+MemberState stateAfterSilence(const MembershipOptions& options, Duration silence, Duration interval)
 {
     if (silence > std::max(interval * static_cast<int>(options.deadAfterIntervals), options.minDeadAfter))
         return MemberState::Dead;
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -39,7 +39,7 @@
             continue;
         }
         // Only a received message improves a member's state.
-        MemberState state = judgeSilence(m_options, now() - member.heardAt, exchange);
+        MemberState state = stateAfterSilence(m_options, now() - member.lastReceivedAt, exchange);
         if (state > member.state)
             setState(member, state);
         bool isUsable = member.isUsable(m_options, now(), exchange);
@@ -180,14 +180,14 @@
 Heartbeat Membership::Impl::heartbeatFor(Member& member)
 {
     Heartbeat heartbeat = introduction();
-    heartbeat.acknowledged = member.heardSequence;
+    heartbeat.acknowledged = member.receivedSequence;
     if (member.channel.isKnown())
         heartbeat.sender = EntryIdentity { m_self.ref, {}, {}, {}, {}, {} };
     SentContent content;
     content.sequence = heartbeat.sequence;
     content.sentAt = now();
     content.hashes = *heartbeat.hashes;
-    if (member.channel.hasOnly(content.hashes))
+    if (member.channel.peerHasExactly(content.hashes))
         heartbeat.hashes.reset();
     heartbeat.demand = m_demand;
     content.load = topChanges(m_load, member.channel.load(), m_options.maxEndpointsPerHeartbeat).items;
--- a/lib/Membership/HeartbeatReception.cpp
+++ b/lib/Membership/HeartbeatReception.cpp
@@ -16,7 +16,7 @@
     // If the sender doesn't receive this entry's messages, or if this entry's latest
     // exchange with the sender failed, the next exchange is not postponed: only an
     // exchange that this entry starts tests the path to the sender.
-    if (member.failures == 0 && member.hearsUs(m_options, now(), interval()))
+    if (member.failures == 0 && member.hasRecentAcknowledgement(m_options, now(), interval()))
         member.nextExchange = now() + delayBeforeNextExchange(member);
     return heartbeatFor(member);
 }
@@ -67,11 +67,11 @@
     Member& member = m_members.all()[identity.ref.name];
     member = Member();
     member.identity = identity;
-    member.heardAt = now();
+    member.lastReceivedAt = now();
     // The first exchange is due immediately, since only its result shows whether the
     // member receives this entry's messages.
     member.nextExchange = now();
-    member.owesLeaving = m_isDraining;
+    member.mustSendLeaving = m_isDraining;
     m_candidates.erase(identity.peerAddress);
     markChanged();
     if (m_events.onMemberState)
@@ -85,26 +85,26 @@
         if (otherName == name || other.identity.peerAddress != address)
             continue;
         other.isAddressReused = true;
-        other.hearsUsAt.reset();
+        other.lastAcknowledgedAt.reset();
         setState(other, MemberState::Dead);
     }
 }
 
 void Membership::Impl::apply(Member& member, const Heartbeat& heartbeat)
 {
-    if (heartbeat.sequence <= member.heardSequence)
+    if (heartbeat.sequence <= member.receivedSequence)
         return;
-    member.heardSequence = heartbeat.sequence;
-    member.heardAt = now();
+    member.receivedSequence = heartbeat.sequence;
+    member.lastReceivedAt = now();
     member.isAddressReused = false;
     setState(member, MemberState::Live);
     std::optional<TimePoint> acknowledgedAt = member.channel.acknowledge(heartbeat.acknowledged);
     if (acknowledgedAt)
-        member.hearsUsAt = acknowledgedAt;
+        member.lastAcknowledgedAt = acknowledgedAt;
     std::uint32_t freezes = heartbeat.freeze ? heartbeat.freeze->count : 0;
-    if (freezes != member.freezes) {
+    if (freezes != member.pauses) {
         // The member was paused and discarded all state that it had received.
-        member.freezes = freezes;
+        member.pauses = freezes;
         member.channel.reset();
         member.load.clear();
     }
@@ -136,7 +136,7 @@
     for (const TeamTokens& total : heartbeat.served)
         recordServed(m_self.zone, m_self.region, total, member.served);
     if (!heartbeat.hasMoreServed)
-        member.served.noteComplete();
+        member.served.recordComplete();
 }
 
 void Membership::Impl::applyRelayedState(Member& member, const Heartbeat& heartbeat)
--- a/lib/Membership/MemberTable.cpp
+++ b/lib/Membership/MemberTable.cpp
@@ -8,8 +8,8 @@
 
 void Member::dropReports()
 {
-    heardSequence = 0;
-    hearsUsAt.reset();
+    receivedSequence = 0;
+    lastAcknowledgedAt.reset();
     channel.reset();
     failures = 0;
     demand.clear();
@@ -19,14 +19,14 @@
     contactsSentAt.reset();
 }
 
-bool Member::hearsUs(const MembershipOptions& options, TimePoint now, Duration interval) const
+bool Member::hasRecentAcknowledgement(const MembershipOptions& options, TimePoint now, Duration interval) const
 {
-    return hearsUsAt && now - *hearsUsAt <= interval * static_cast<int>(options.deafAfterIntervals);
+    return lastAcknowledgedAt && now - *lastAcknowledgedAt <= interval * static_cast<int>(options.unacknowledgedAfterIntervals);
 }
 
 bool Member::isUsable(const MembershipOptions& options, TimePoint now, Duration interval) const
 {
-    return state == MemberState::Live && !draining && failures < options.unusableAfterFailures && hearsUs(options, now, interval);
+    return state == MemberState::Live && !draining && failures < options.unusableAfterFailures && hasRecentAcknowledgement(options, now, interval);
 }
 
 Member* MemberTable::find(const std::string& name)
--- a/lib/Membership/MemberTable.h
+++ b/lib/Membership/MemberTable.h
@@ -18,10 +18,10 @@
     bool isAddressReused { false };
 
     /// Time of the latest message received, or of the start of waiting for one.
-    TimePoint heardAt {};
-    std::uint64_t heardSequence { 0 };
+    TimePoint lastReceivedAt {};
+    std::uint64_t receivedSequence { 0 };
     /// Time at which the latest message that the member acknowledged was sent.
-    std::optional<TimePoint> hearsUsAt;
+    std::optional<TimePoint> lastAcknowledgedAt;
     bool wasUsable { false };
 
     PeerChannel channel;
@@ -31,10 +31,10 @@
     Duration probeInterval {};
     TimePoint diedAt {};
 
-    bool owesLeaving { false };
+    bool mustSendLeaving { false };
     TimePoint nextAnnounce {};
 
-    std::uint32_t freezes { 0 };
+    std::uint32_t pauses { 0 };
     std::optional<TimePoint> configReportedAt;
     StateHashes hashes;
     std::optional<TimePoint> contactsSentAt;
@@ -45,7 +45,7 @@
     /// Resets all reported state, for example after a pause of this entry's process.
     void dropReports();
     /// Returns whether the member recently acknowledged a message of this entry.
-    bool hearsUs(const MembershipOptions& options, TimePoint now, Duration interval) const;
+    bool hasRecentAcknowledgement(const MembershipOptions& options, TimePoint now, Duration interval) const;
     /// Returns whether new requests may be forwarded to the member.
     bool isUsable(const MembershipOptions& options, TimePoint now, Duration interval) const;
 };
--- a/lib/Membership/Membership.cpp
+++ b/lib/Membership/Membership.cpp
@@ -76,12 +76,12 @@
         return;
     m_freeze.span = now() - m_nextTick;
     ++m_freeze.count;
-    ++m_counters.freezes;
+    ++m_counters.pauses;
     m_resumedAt = now();
     m_nextTick = now();
     dropViews();
-    if (m_events.onFrozen)
-        m_events.onFrozen(m_freeze.span);
+    if (m_events.onPaused)
+        m_events.onPaused(m_freeze.span);
     reportChange();
 }
 
@@ -96,7 +96,7 @@
         member.nextExchange = now();
         if (member.state == MemberState::Dead)
             continue;
-        member.heardAt = now();
+        member.lastReceivedAt = now();
         setState(member, MemberState::Suspect);
     }
     for (auto& [name, zone] : m_zones.all()) {
@@ -259,13 +259,13 @@
 Membership::~Membership() = default;
 
 void Membership::start() { m_impl->start(); }
-void Membership::learn(const std::vector<Candidate>& candidates) { m_impl->addCandidates(candidates); }
+void Membership::addCandidates(const std::vector<Candidate>& candidates) { m_impl->addCandidates(candidates); }
 void Membership::setLocalState(LocalState state) { m_impl->setLocalState(std::move(state)); }
 void Membership::startDraining() { m_impl->startDraining(); }
-void Membership::announceGone() { m_impl->announceExit(); }
+void Membership::announceExit() { m_impl->announceExit(); }
 void Membership::reportLeaving(const EndpointLeaving& endpoint) { m_impl->reportLeaving(endpoint); }
 std::optional<PeerReply> Membership::handle(const PeerMessage& message) { return m_impl->handle(message); }
-void Membership::checkFrozen() { m_impl->checkForPause(); }
+void Membership::checkForPause() { m_impl->checkForPause(); }
 const MembershipView& Membership::view() { return m_impl->view(); }
 const EntryIdentity& Membership::self() const { return m_impl->self(); }
 const MembershipCounters& Membership::counters() const { return m_impl->counters(); }
--- a/lib/Membership/PeerChannel.cpp
+++ b/lib/Membership/PeerChannel.cpp
@@ -96,7 +96,7 @@
     return sentAt;
 }
 
-bool PeerChannel::hasOnly(const StateHashes& hashes) const
+bool PeerChannel::peerHasExactly(const StateHashes& hashes) const
 {
     return m_isKnown && m_hashes == hashes
         && std::all_of(m_sent.begin(), m_sent.end(), [&](const SentContent& sent) { return sent.hashes == hashes; });
--- a/lib/Membership/PeerChannel.h
+++ b/lib/Membership/PeerChannel.h
@@ -57,7 +57,7 @@
     bool isKnown() const { return m_isKnown; }
     /// Returns whether the member has exactly these hashes, whichever of the unacknowledged
     /// messages have arrived.
-    bool hasOnly(const StateHashes& hashes) const;
+    bool peerHasExactly(const StateHashes& hashes) const;
     const CountTable& served() const { return m_served; }
     const CountTable& load() const { return m_load; }
     /// Returns the version of the zone's digest that the member has; zero for none.
@@ -66,9 +66,9 @@
     std::uint64_t acknowledgedRosterDigest(const std::string& zone) const;
     bool knowsLeaving(const EndpointLeaving& endpoint) const { return m_leaving.count(endpoint) > 0; }
     /// Records that the member knows that the endpoint is leaving.
-    void noteLeaving(const EndpointLeaving& endpoint) { m_leaving.insert(endpoint); }
+    void recordLeaving(const EndpointLeaving& endpoint) { m_leaving.insert(endpoint); }
     /// Removes an endpoint that is no longer tracked.
-    void forgetLeaving(const EndpointLeaving& endpoint) { m_leaving.erase(endpoint); }
+    void removeLeaving(const EndpointLeaving& endpoint) { m_leaving.erase(endpoint); }
 
 private:
     bool m_isKnown { false };
--- a/lib/Membership/ServedTracker.h
+++ b/lib/Membership/ServedTracker.h
@@ -8,11 +8,11 @@
 class ServedTracker {
 public:
     /// Returns the tokens since the last total of the team. The first total of a team
-    /// counts only after noteComplete(). A total that decreased gives zero, since the
+    /// counts only after recordComplete(). A total that decreased gives zero, since the
     /// source has restarted.
     std::uint64_t increment(const TeamTokens& total);
     /// Records that the source has reported the totals of all its teams.
-    void noteComplete() { m_isComplete = true; }
+    void recordComplete() { m_isComplete = true; }
     /// Drops all totals.
     void reset() { *this = ServedTracker(); }
 
--- a/lib/Membership/ViewBuilder.cpp
+++ b/lib/Membership/ViewBuilder.cpp
@@ -8,8 +8,8 @@
     view.identity = member.identity;
     view.state = member.state;
     view.draining = member.draining;
-    view.heardAt = member.heardAt;
-    view.freezes = member.freezes;
+    view.lastReceivedAt = member.lastReceivedAt;
+    view.pauses = member.pauses;
     view.configDigest = member.hashes.config;
     view.demand = member.demand;
     view.load.reserve(member.load.size());
@@ -42,7 +42,7 @@
         for (const auto& [name, member] : m_members.all()) {
             m_view.members.push_back(viewOf(member));
             bool isAnswering = member.failures < m_options.unusableAfterFailures;
-            m_view.members.back().hearsUs = isAnswering && member.hearsUs(m_options, now(), interval());
+            m_view.members.back().receivesOurMessages = isAnswering && member.hasRecentAcknowledgement(m_options, now(), interval());
         }
         m_view.leaving.clear();
         for (const auto& [endpoint, state] : m_leaving)
--- a/lib/Routing/BaselinePlacement.cpp
+++ b/lib/Routing/BaselinePlacement.cpp
@@ -34,7 +34,7 @@
     for (std::size_t step = 0; step < all.size(); ++step) {
         EndpointHandle handle = all[(request.sequence + step) % all.size()];
         const EndpointView& endpoint = cell.endpoint(handle);
-        if (isOpen(endpoint) && !wasTried(request, endpoint.name))
+        if (acceptsRequest(endpoint) && !wasTried(request, endpoint.name))
             return makePlacement(handle, request, cell, policy, now);
     }
     return noUntriedEndpoint();
--- a/lib/Routing/CallerSteering.cpp
+++ b/lib/Routing/CallerSteering.cpp
@@ -65,7 +65,7 @@
     return request.team + '\n' + request.model + '\n' + session;
 }
 
-std::vector<std::size_t> steerCallers(const SteeringRequest& request, absl::Span<const EntryView> entries, const SlowStartPolicy& slowStart, TimePoint now)
+std::vector<std::size_t> rankEntries(const SteeringRequest& request, absl::Span<const EntryView> entries, const SlowStartPolicy& slowStart, TimePoint now)
 {
     std::string key = affinityKey(request);
     std::vector<Ranked> ranked;
@@ -75,7 +75,7 @@
             continue;
         Nearness nearness = nearnessOf(request, entry);
         Duration distance = nearness == Nearness::OtherRegion ? entry.roundTripTime : Duration::zero();
-        double weight = entry.weight * slowStartWeight(slowStart, entry.since, now);
+        double weight = entry.weight * slowStartWeight(slowStart, entry.availableSince, now);
         ranked.push_back({ index, nearness, distance, rendezvousScore(key, entry.name, weight) });
     }
     std::sort(ranked.begin(), ranked.end(), isRankedBefore);
