--- a/lib/Routing/CellView.cpp
+++ b/lib/Routing/CellView.cpp
@@ -136,9 +136,9 @@
     catkinwing::recordFirstToken(m_slots[handle].view, prefillTokens);
 }
 
-void CellView::recordSettled(EndpointHandle handle, TimePoint now)
+void CellView::recordRequestEnded(EndpointHandle handle, TimePoint now)
 {
-    catkinwing::recordSettled(m_slots[handle].view, now);
+    catkinwing::recordRequestEnded(m_slots[handle].view, now);
     updateOpenLists(handle);
 }
 
@@ -196,7 +196,7 @@
 
 void CellView::updateOpenLists(EndpointHandle handle)
 {
-    bool open = isOpen(m_slots[handle].view);
+    bool open = acceptsRequest(m_slots[handle].view);
     if (open == m_slots[handle].inOpenLists)
         return;
     if (open)
--- a/lib/Routing/EndpointChoice.cpp
+++ b/lib/Routing/EndpointChoice.cpp
@@ -68,11 +68,11 @@
     return sum / candidates.size();
 }
 
-Duration longestWaitForOwner(const EndpointDemand& demand)
+Duration maxWaitForOwner(const EndpointDemand& demand)
 {
-    if (demand.longestWait == Duration::max())
-        return demand.longestWait;
-    return demand.longestWait + std::chrono::duration_cast<Duration>(demand.readingAgain * maxPrefillsBeyondMaxWait);
+    if (demand.maxWait == Duration::max())
+        return demand.maxWait;
+    return demand.maxWait + std::chrono::duration_cast<Duration>(demand.prefillTime * maxPrefillsBeyondMaxWait);
 }
 
 std::uint64_t ownershipScore(absl::string_view incarnation, absl::string_view sharedSegment)
@@ -83,8 +83,8 @@
 // Returns the candidates whose wait is within the limit for a shared segment.
 static Candidates withoutOverloaded(const EndpointDemand& demand, Candidates candidates)
 {
-    auto maxExcess = std::chrono::duration_cast<Duration>(demand.readingAgain * maxExcessPrefills) + toleratedExcessWait;
-    Duration limit = std::min(meanWait(candidates) + maxExcess, longestWaitForOwner(demand));
+    auto maxExcess = std::chrono::duration_cast<Duration>(demand.prefillTime * maxExcessPrefills) + toleratedExcessWait;
+    Duration limit = std::min(meanWait(candidates) + maxExcess, maxWaitForOwner(demand));
     candidates.erase(std::remove_if(candidates.begin(), candidates.end(), [limit](const auto* candidate) { return candidate->wait > limit; }), candidates.end());
     return candidates;
 }
@@ -95,7 +95,7 @@
 {
     const EndpointCandidate* best = nullptr;
     for (const EndpointCandidate* candidate : candidates) {
-        if (candidate->holdsPart && (!best || candidate->wait < best->wait))
+        if (candidate->cachesSegment && (!best || candidate->wait < best->wait))
             best = candidate;
     }
     return best;
@@ -108,7 +108,7 @@
     const EndpointCandidate* best = nullptr;
     std::uint64_t bestScore = 0;
     for (const EndpointCandidate* candidate : candidates) {
-        std::uint64_t score = ownershipScore(candidate->incarnation, demand.sharedPart);
+        std::uint64_t score = ownershipScore(candidate->incarnation, demand.sharedSegment);
         if (best && score <= bestScore)
             continue;
         best = candidate;
@@ -122,7 +122,7 @@
     if (candidates.empty())
         return std::nullopt;
     Candidates preferred = withoutSuspects(candidates);
-    if (!demand.sharedPart.empty()) {
+    if (!demand.sharedSegment.empty()) {
         Candidates acceptable = withoutOverloaded(demand, preferred);
         const EndpointCandidate* holder = leastBusyHolder(acceptable);
         if (const EndpointCandidate* chosen = holder ? holder : ownerOf(demand, acceptable))
--- a/lib/Routing/EndpointLifecycle.cpp
+++ b/lib/Routing/EndpointLifecycle.cpp
@@ -8,7 +8,7 @@
 /// Maximum number of replaced incarnations kept per endpoint.
 static constexpr std::size_t maxReplaced = 4;
 
-static void recordLeaving(LifecycleStatus& status, const LifecycleSign& report, TimePoint now)
+static void recordLeaving(LifecycleStatus& status, const LifecycleReport& report, TimePoint now)
 {
     if (!report.leaving || status.leaving)
         return;
@@ -17,7 +17,7 @@
     status.leavingSince = now;
 }
 
-static LifecycleStatus makeStatus(const LifecycleSign& report, TimePoint now)
+static LifecycleStatus makeStatus(const LifecycleReport& report, TimePoint now)
 {
     LifecycleStatus status;
     status.incarnation = report.incarnation;
@@ -26,7 +26,7 @@
     return status;
 }
 
-LifecycleChange EndpointLifecycle::record(const LifecycleSign& report, TimePoint now)
+LifecycleChange EndpointLifecycle::record(const LifecycleReport& report, TimePoint now)
 {
     auto [known, added] = m_endpoints.try_emplace(report.endpoint);
     TrackedEndpoint& tracked = known->second;
@@ -44,7 +44,7 @@
     return tracked.present.leaving && !wasLeaving ? LifecycleChange::Leaving : LifecycleChange::None;
 }
 
-LifecycleChange EndpointLifecycle::recordOtherIncarnation(TrackedEndpoint& tracked, const LifecycleSign& report, TimePoint now) const
+LifecycleChange EndpointLifecycle::recordOtherIncarnation(TrackedEndpoint& tracked, const LifecycleReport& report, TimePoint now) const
 {
     bool fromEndpoint = report.source == LifecycleSource::Endpoint;
     auto isSameIncarnation = [&report](const LifecycleStatus& status) { return status.incarnation == report.incarnation; };
--- a/lib/Routing/EndpointView.cpp
+++ b/lib/Routing/EndpointView.cpp
@@ -20,7 +20,7 @@
     return std::max(scaled, 1U);
 }
 
-bool isOpen(const EndpointView& endpoint)
+bool acceptsRequest(const EndpointView& endpoint)
 {
     return endpoint.state == EndpointState::Live && endpoint.ownInFlight < inFlightLimit(endpoint);
 }
@@ -65,7 +65,7 @@
     endpoint.ownPendingPrefillTokens = std::max(endpoint.ownPendingPrefillTokens - prefillTokens, 0.0);
 }
 
-void recordSettled(EndpointView& endpoint, TimePoint now)
+void recordRequestEnded(EndpointView& endpoint, TimePoint now)
 {
     if (endpoint.ownInFlight == 0)
         return;
@@ -103,14 +103,14 @@
     return average + sampleWeight * (sample - average);
 }
 
-void learnSpeeds(EndpointView& endpoint, const ServiceSample& sample)
+void updateSpeeds(EndpointView& endpoint, const ServiceSample& sample)
 {
     if (sample.prefillTokens > 0 && sample.prefillTime > Duration::zero())
         endpoint.prefillTokensPerSecond = updatedAverage(endpoint.prefillTokensPerSecond, sample.prefillTokens / toSeconds(sample.prefillTime));
     if (sample.decodeTokens > 0 && sample.decodeTime > Duration::zero())
         endpoint.decodeTokensPerSecond = updatedAverage(endpoint.decodeTokensPerSecond, sample.decodeTokens / toSeconds(sample.decodeTime));
-    if (sample.total > Duration::zero()) {
-        double mean = updatedAverage(toSeconds(endpoint.requestDuration), toSeconds(sample.total));
+    if (sample.requestDuration > Duration::zero()) {
+        double mean = updatedAverage(toSeconds(endpoint.requestDuration), toSeconds(sample.requestDuration));
         endpoint.requestDuration = fromSeconds(mean);
     }
 }
--- a/lib/Routing/Forwarding.cpp
+++ b/lib/Routing/Forwarding.cpp
@@ -81,7 +81,7 @@
     const ForwardPolicy& policy = inputs.policy;
     double factor = (otherRegion ? state.forwardingToRegions : state.forwardingToZones) ? policy.keepFactor : 1;
     if (otherRegion)
-        factor *= 1 + policy.sharePenalty * shareSentAway(state) / policy.targetShare;
+        factor *= 1 + policy.sharePenalty * crossRegionShare(state) / policy.targetShare;
     Duration base = otherRegion ? policy.regionThreshold : policy.zoneThreshold;
     return fromSeconds(toSeconds(base) * factor);
 }
@@ -160,7 +160,7 @@
     state.countedAt = now;
 }
 
-double shareSentAway(const ForwardState& state)
+double crossRegionShare(const ForwardState& state)
 {
     return state.requests > 0 ? state.forwardedToRegions / state.requests : 0;
 }
--- a/lib/Routing/Hedging.cpp
+++ b/lib/Routing/Hedging.cpp
@@ -51,13 +51,13 @@
         return HedgeDecision::AlreadyDelivered;
     if (inputs.hedgesSoFar >= policy.maxHedges)
         return HedgeDecision::HedgeLimitReached;
-    if (!inputs.learnedWait)
+    if (!inputs.waitQuantile)
         return HedgeDecision::TooFewSamples;
-    if (inputs.elapsed < std::max(*inputs.learnedWait, policy.minimumWait))
+    if (inputs.elapsed < std::max(*inputs.waitQuantile, policy.minimumWait))
         return HedgeDecision::TooEarly;
-    if (!inputs.secondPrediction)
+    if (!inputs.secondAttemptPrediction)
         return HedgeDecision::NoOtherEndpoint;
-    if (inputs.timeLeft && *inputs.secondPrediction > *inputs.timeLeft)
+    if (inputs.timeLeft && *inputs.secondAttemptPrediction > *inputs.timeLeft)
         return HedgeDecision::DeadlineTooClose;
     if (!inputs.budgetAvailable)
         return HedgeDecision::NoBudget;
--- a/lib/Routing/PlacementExplanation.cpp
+++ b/lib/Routing/PlacementExplanation.cpp
@@ -10,7 +10,7 @@
         return ExclusionReason::Leaving;
     if (endpoint.state == EndpointState::Ejected)
         return ExclusionReason::Ejected;
-    if (!isOpen(endpoint))
+    if (!acceptsRequest(endpoint))
         return ExclusionReason::NoSlot;
     if (wasTried(request, endpoint.name))
         return ExclusionReason::AlreadyTried;
--- a/lib/Routing/PrefixIndex.cpp
+++ b/lib/Routing/PrefixIndex.cpp
@@ -105,7 +105,7 @@
     discardBlocks(stream);
 }
 
-void PrefixIndex::forget(EndpointHandle endpoint)
+void PrefixIndex::remove(EndpointHandle endpoint)
 {
     EventStream& stream = eventStream(endpoint);
     discardBlocks(stream);
--- a/lib/Routing/RegionPressure.cpp
+++ b/lib/Routing/RegionAcceptance.cpp
@@ -1,4 +1,4 @@
-#include "catkinwing/Routing/RegionPressure.h"
+#include "catkinwing/Routing/RegionAcceptance.h"
 
 #include <algorithm>
 
@@ -18,7 +18,7 @@
 /// regions.
 static constexpr double spillThreshold = 0.9;
 
-double RegionPressure::readiness(const std::string& region, TimePoint now) const
+double RegionAcceptance::acceptanceOf(const std::string& region, TimePoint now) const
 {
     auto found = m_regions.find(region);
     if (found == m_regions.end())
@@ -27,47 +27,47 @@
     return std::min(1.0, found->second.acceptance + seconds * recoveryPerSecond);
 }
 
-void RegionPressure::noteTaken(const std::string& region, TimePoint now)
+void RegionAcceptance::recordAccepted(const std::string& region, TimePoint now)
 {
     auto found = m_regions.find(region);
     if (found == m_regions.end())
         return;
-    double increased = readiness(region, now) + gainPerAcceptedRequest;
+    double increased = acceptanceOf(region, now) + gainPerAcceptedRequest;
     if (increased >= 1)
         m_regions.erase(found);
     else
         found->second = { increased, now };
 }
 
-void RegionPressure::noteRefused(const std::string& region, TimePoint now)
+void RegionAcceptance::recordRefused(const std::string& region, TimePoint now)
 {
-    double reduced = readiness(region, now) * (1 - refusalLossFraction);
+    double reduced = acceptanceOf(region, now) * (1 - refusalLossFraction);
     m_regions[region] = { std::max(reduced, minAcceptance), now };
 }
 
-bool shouldSpill(const RegionPressure& tracker, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random)
+bool shouldSpill(const RegionAcceptance& tracker, const std::string& home, const std::map<std::string, std::size_t>& others, TimePoint now, Random& random)
 {
-    double homeAcceptance = tracker.readiness(home, now);
+    double homeAcceptance = tracker.acceptanceOf(home, now);
     if (homeAcceptance >= spillThreshold)
         return false;
     double best = 0;
     for (const auto& [region, endpoints] : others) {
         if (endpoints > 0)
-            best = std::max(best, tracker.readiness(region, now));
+            best = std::max(best, tracker.acceptanceOf(region, now));
     }
     return best > homeAcceptance && random.unit() > homeAcceptance;
 }
 
-std::optional<std::string> chooseSpillRegion(const RegionPressure& tracker, const std::map<std::string, std::size_t>& regions, TimePoint now, Random& random)
+std::optional<std::string> chooseSpillRegion(const RegionAcceptance& tracker, const std::map<std::string, std::size_t>& regions, TimePoint now, Random& random)
 {
     double sum = 0;
     for (const auto& [region, endpoints] : regions)
-        sum += static_cast<double>(endpoints) * tracker.readiness(region, now);
+        sum += static_cast<double>(endpoints) * tracker.acceptanceOf(region, now);
     if (sum <= 0)
         return std::nullopt;
     double point = random.unit() * sum;
     for (const auto& [region, endpoints] : regions) {
-        point -= static_cast<double>(endpoints) * tracker.readiness(region, now);
+        point -= static_cast<double>(endpoints) * tracker.acceptanceOf(region, now);
         if (point < 0)
             return region;
     }
--- a/lib/Routing/RegionChoice.cpp
+++ b/lib/Routing/RegionChoice.cpp
@@ -15,7 +15,7 @@
 
 static Duration timeToCompletion(const RegionOption& option)
 {
-    return *option.wait + option.way + option.responseDuration;
+    return *option.wait + option.networkDelay + option.responseDuration;
 }
 
 // Picks two regions at random and returns the one that completes the response
@@ -39,30 +39,30 @@
 // higher of their probabilities applies.
 static bool shouldForward(const RegionDemand& demand, const RegionOption& other, Random& random)
 {
-    Duration toleratedWait = std::chrono::duration_cast<Duration>(demand.longestWait * toleratedWaitFraction);
-    bool isSooner = *other.wait + other.way < *demand.waitHere;
-    double byWait = isSooner && *demand.waitHere > toleratedWait ? ratioOf(*demand.waitHere - toleratedWait, demand.longestWait - toleratedWait) : 0;
-    Duration gain = demand.lastsHere - other.responseDuration - other.way;
-    double byDuration = demand.lastsHere > Duration::zero() ? ratioOf(gain, demand.lastsHere) - minGainFraction : 0;
+    Duration toleratedWait = std::chrono::duration_cast<Duration>(demand.maxWait * toleratedWaitFraction);
+    bool isSooner = *other.wait + other.networkDelay < *demand.localWait;
+    double byWait = isSooner && *demand.localWait > toleratedWait ? ratioOf(*demand.localWait - toleratedWait, demand.maxWait - toleratedWait) : 0;
+    Duration gain = demand.localResponseDuration - other.responseDuration - other.networkDelay;
+    double byDuration = demand.localResponseDuration > Duration::zero() ? ratioOf(gain, demand.localResponseDuration) - minGainFraction : 0;
     return random.unit() < std::max(byWait, byDuration);
 }
 
 RegionChoice chooseRegion(const RegionDemand& demand, const std::vector<RegionOption>& others, Random& random)
 {
     std::vector<const RegionOption*> known;
-    bool hasUnknown = demand.mayAskHere && !demand.waitHere;
+    bool hasUnknown = demand.mayAcceptLocally && !demand.localWait;
     for (const RegionOption& option : others) {
         hasUnknown |= !option.wait;
-        if (option.wait && *option.wait <= demand.longestWait)
+        if (option.wait && *option.wait <= demand.maxWait)
             known.push_back(&option);
     }
     const RegionOption* other = soonerOfTwo(known, random);
-    bool mayStay = demand.waitHere && *demand.waitHere <= demand.longestWait;
+    bool mayStay = demand.localWait && *demand.localWait <= demand.maxWait;
     if (mayStay && !(other && shouldForward(demand, *other, random)))
-        return { RegionVerdict::Here, {} };
+        return { RegionVerdict::Local, {} };
     if (other)
-        return { RegionVerdict::Away, other->region };
-    return { hasUnknown ? RegionVerdict::Ask : RegionVerdict::Nowhere, {} };
+        return { RegionVerdict::Forward, other->region };
+    return { hasUnknown ? RegionVerdict::Query : RegionVerdict::Refuse, {} };
 }
 
 } // namespace catkinwing
--- a/lib/Routing/AnswerTimes.cpp
+++ b/lib/Routing/ResponseTimes.cpp
@@ -1,4 +1,4 @@
-#include "catkinwing/Routing/AnswerTimes.h"
+#include "catkinwing/Routing/ResponseTimes.h"
 
 #include <algorithm>
 #include <cmath>
@@ -59,12 +59,12 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
-static double decayFactor(const AnswerTimes& times, TimePoint now)
+static double decayFactor(const ResponseTimes& times, TimePoint now)
 {
     return std::exp2(-std::chrono::duration<double>(now - times.decayedAt) / responseHalfLife);
 }
 
-static void applyDecay(AnswerTimes& times, TimePoint now)
+static void applyDecay(ResponseTimes& times, TimePoint now)
 {
     double factor = decayFactor(times, now);
     for (double* sum : { &times.weight, &times.sumKilotokens, &times.sumSeconds, &times.sumSquares, &times.sumProducts, &times.slotWeight,
@@ -73,7 +73,7 @@
     times.decayedAt = now;
 }
 
-static void addPoint(AnswerTimes& times, double kilotokens, double seconds, double weight)
+static void addPoint(ResponseTimes& times, double kilotokens, double seconds, double weight)
 {
     times.weight += weight;
     times.sumKilotokens += weight * kilotokens;
@@ -82,12 +82,12 @@
     times.sumProducts += weight * kilotokens * seconds;
 }
 
-AnswerEstimate usualAnswers()
+ResponseEstimate defaultResponseEstimate()
 {
     return { defaultFirstByteSeconds, defaultSecondsPerKilotoken, defaultFirstByteSeconds, defaultSlotSeconds, defaultEventSeconds };
 }
 
-void learnFirstByte(AnswerTimes& times, double kilotokens, Duration took, TimePoint now)
+void addFirstByteSample(ResponseTimes& times, double kilotokens, Duration took, TimePoint now)
 {
     applyDecay(times, now);
     for (double* sum : { &times.weight, &times.sumKilotokens, &times.sumSeconds, &times.sumSquares, &times.sumProducts })
@@ -100,14 +100,14 @@
     times.idleSeconds += weight * (seconds - times.idleSeconds);
 }
 
-void learnHeld(AnswerTimes& times, Duration occupied, TimePoint now)
+void addSlotTimeSample(ResponseTimes& times, Duration occupied, TimePoint now)
 {
     applyDecay(times, now);
     times.slotWeight = times.slotWeight * responseDecay + 1;
     times.sumSlotSeconds = times.sumSlotSeconds * responseDecay + secondsOf(occupied);
 }
 
-void learnEvents(AnswerTimes& times, std::size_t events, Duration interval, TimePoint now)
+void addEventSample(ResponseTimes& times, std::size_t events, Duration interval, TimePoint now)
 {
     if (events == 0)
         return;
@@ -119,7 +119,7 @@
 
 // If all responses had the same number of tokens to prefill, they don't determine
 // the slope; the two points of the prior do.
-static void fitLine(AnswerTimes sums, const AnswerEstimate& prior, AnswerEstimate& estimate)
+static void fitLine(ResponseTimes sums, const ResponseEstimate& prior, ResponseEstimate& estimate)
 {
     addPoint(sums, 0, prior.secondsAtZero, priorResponses / 2);
     addPoint(sums, priorKilotokens, prior.secondsAtZero + priorKilotokens * prior.secondsPerKilotoken, priorResponses / 2);
@@ -130,39 +130,39 @@
     estimate.secondsAtZero = std::max(intercept, minFirstByteSeconds);
 }
 
-AnswerEstimate estimateAnswers(const AnswerTimes& times, const AnswerEstimate& prior, TimePoint now)
+ResponseEstimate estimateResponses(const ResponseTimes& times, const ResponseEstimate& prior, TimePoint now)
 {
-    AnswerTimes sums = times;
+    ResponseTimes sums = times;
     applyDecay(sums, now);
-    AnswerEstimate estimate;
+    ResponseEstimate estimate;
     fitLine(sums, prior, estimate);
     estimate.idleSeconds = sums.idleSeconds < 0 ? prior.idleSeconds : std::max(sums.idleSeconds, minFirstByteSeconds);
-    estimate.heldSeconds = (sums.sumSlotSeconds + priorResponses * prior.heldSeconds) / (sums.slotWeight + priorResponses);
+    estimate.slotSeconds = (sums.sumSlotSeconds + priorResponses * prior.slotSeconds) / (sums.slotWeight + priorResponses);
     estimate.eventSeconds = (sums.sumEventSeconds + priorEvents * prior.eventSeconds) / (sums.eventWeight + priorEvents);
     return estimate;
 }
 
-Duration timePerEvent(const AnswerEstimate& estimate)
+Duration timePerEvent(const ResponseEstimate& estimate)
 {
     return durationOf(estimate.eventSeconds);
 }
 
-Duration idleFirstByte(const AnswerEstimate& estimate)
+Duration idleFirstByte(const ResponseEstimate& estimate)
 {
     return durationOf(estimate.idleSeconds);
 }
 
-Duration timePerKilotoken(const AnswerEstimate& estimate)
+Duration timePerKilotoken(const ResponseEstimate& estimate)
 {
     return durationOf(estimate.secondsPerKilotoken);
 }
 
-Duration predictWait(const AnswerEstimate& estimate, const EndpointWork& work, unsigned slots)
+Duration predictWait(const ResponseEstimate& estimate, const EndpointWork& work, unsigned slots)
 {
-    double seconds = work.unreadKilotokens * estimate.secondsPerKilotoken;
+    double seconds = work.unprefilledKilotokens * estimate.secondsPerKilotoken;
     if (slots > 0) {
         double queued = std::max(0.0, work.requests + 1 - slots);
-        seconds += queued * estimate.heldSeconds / slots;
+        seconds += queued * estimate.slotSeconds / slots;
     }
     return durationOf(seconds);
 }
--- a/lib/Routing/PartHolders.cpp
+++ b/lib/Routing/SegmentHolders.cpp
@@ -1,6 +1,6 @@
-#include "catkinwing/Routing/PartHolders.h"
+#include "catkinwing/Routing/SegmentHolders.h"
 
-#include "catkinwing/Routing/AnswerTimes.h"
+#include "catkinwing/Routing/ResponseTimes.h"
 #include "catkinwing/Support/Hash.h"
 #include <algorithm>
 
@@ -16,29 +16,29 @@
 /// hundred engines with a hundred segments each.
 static constexpr std::size_t maxSegments = 32'768;
 
-std::uint32_t partHash(absl::string_view sharedSegment)
+std::uint32_t segmentHash(absl::string_view sharedSegment)
 {
     return static_cast<std::uint32_t>(stableHash(sharedSegment));
 }
 
-bool PartHolders::isCached(const Holder& holder) const
+bool SegmentHolders::isCached(const Holder& holder) const
 {
     auto stored = m_stored.find(holder.endpoint);
     return stored == m_stored.end() || stored->second <= holder.evictionThreshold;
 }
 
-PartHolders::PartHolders()
+SegmentHolders::SegmentHolders()
 {
-    setMemory(defaultCacheTokens);
+    setCacheSize(defaultCacheTokens);
 }
 
-void PartHolders::setMemory(std::int64_t tokens)
+void SegmentHolders::setCacheSize(std::int64_t tokens)
 {
     if (tokens > 0)
         m_segmentCapacity = static_cast<std::uint64_t>(static_cast<double>(tokens) * segmentCacheFraction / tokensPerKilotoken);
 }
 
-void PartHolders::noteSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens)
+void SegmentHolders::recordSent(std::uint32_t endpoint, std::uint32_t segment, std::uint32_t kilotokens)
 {
     if (m_holders.size() >= maxSegments)
         removeEvictedSegments();
@@ -53,7 +53,7 @@
         holders.push_back({ endpoint, evictionThreshold });
 }
 
-void PartHolders::forget(std::uint32_t endpoint, std::uint32_t segment)
+void SegmentHolders::remove(std::uint32_t endpoint, std::uint32_t segment)
 {
     auto found = m_holders.find(segment);
     if (found == m_holders.end())
@@ -64,7 +64,7 @@
         m_holders.erase(found);
 }
 
-bool PartHolders::holds(std::uint32_t endpoint, std::uint32_t segment) const
+bool SegmentHolders::holds(std::uint32_t endpoint, std::uint32_t segment) const
 {
     auto found = m_holders.find(segment);
     if (found == m_holders.end())
@@ -76,7 +76,7 @@
 // Removes the records of segments that count as evicted. Those of removed endpoints never
 // do, since these endpoints cache nothing more. If too many segments remain, all records are dropped; new dispatches
 // restore them within seconds.
-void PartHolders::removeEvictedSegments()
+void SegmentHolders::removeEvictedSegments()
 {
     for (auto segment = m_holders.begin(); segment != m_holders.end();) {
         Holders& holders = segment->second;
--- a/lib/Routing/PartRegionChoice.cpp
+++ b/lib/Routing/SegmentRegionChoice.cpp
@@ -1,4 +1,4 @@
-#include "catkinwing/Routing/PartRegionChoice.h"
+#include "catkinwing/Routing/SegmentRegionChoice.h"
 
 namespace catkinwing {
 
@@ -8,19 +8,19 @@
 /// prefill time of a long segment.
 static constexpr std::chrono::milliseconds fullGain { 300 };
 
-static Duration timeToStart(const PartRegionOption& option, Duration prefillTime)
+static Duration timeToStart(const SegmentRegionOption& option, Duration prefillTime)
 {
-    return option.wait + option.way + (option.keepsPart ? Duration::zero() : prefillTime);
+    return option.wait + option.networkDelay + (option.cachesSegment ? Duration::zero() : prefillTime);
 }
 
-const PartRegionOption* choosePartRegion(absl::Span<const PartRegionOption> options, Duration prefillTime, Random& random)
+const SegmentRegionOption* chooseSegmentRegion(absl::Span<const SegmentRegionOption> options, Duration prefillTime, Random& random)
 {
-    const PartRegionOption* holder = nullptr;
-    const PartRegionOption* soonest = nullptr;
-    for (const PartRegionOption& option : options) {
+    const SegmentRegionOption* holder = nullptr;
+    const SegmentRegionOption* soonest = nullptr;
+    for (const SegmentRegionOption& option : options) {
         if (!soonest || timeToStart(option, prefillTime) < timeToStart(*soonest, prefillTime))
             soonest = &option;
-        if (option.keepsPart && (!holder || timeToStart(option, prefillTime) < timeToStart(*holder, prefillTime)))
+        if (option.cachesSegment && (!holder || timeToStart(option, prefillTime) < timeToStart(*holder, prefillTime)))
             holder = &option;
     }
     if (!holder || holder == soonest)
--- a/lib/Routing/PartRegions.cpp
+++ b/lib/Routing/SegmentRegions.cpp
@@ -1,4 +1,4 @@
-#include "catkinwing/Routing/PartRegions.h"
+#include "catkinwing/Routing/SegmentRegions.h"
 
 namespace catkinwing {
 
@@ -10,14 +10,14 @@
 /// dispatches restore them within seconds.
 static constexpr std::size_t maxSegments = 32'768;
 
-void PartRegions::noteSent(std::uint32_t segment, std::uint32_t region, TimePoint now)
+void SegmentRegions::recordSent(std::uint32_t segment, std::uint32_t region, TimePoint now)
 {
     if (m_uses.size() >= maxSegments)
         m_uses.clear();
     m_uses[segment] = { region, now };
 }
 
-std::optional<std::uint32_t> PartRegions::regionOf(std::uint32_t segment, TimePoint now) const
+std::optional<std::uint32_t> SegmentRegions::regionOf(std::uint32_t segment, TimePoint now) const
 {
     auto found = m_uses.find(segment);
     if (found == m_uses.end() || now - found->second.at > segmentLifetime)
--- a/lib/Routing/StreamLength.cpp
+++ b/lib/Routing/StreamLength.cpp
@@ -9,7 +9,7 @@
 /// seven tokens into an event.
 static constexpr double defaultTokensPerEvent = 6;
 
-void learnEvents(StreamLength& length, std::int64_t outputTokens, std::size_t events)
+void addEventSample(StreamLength& length, std::int64_t outputTokens, std::size_t events)
 {
     auto count = static_cast<double>(events);
     length.meanEvents += (1 - streamDecay) * (count - length.meanEvents);
--- a/unittests/Admission/AdmissionControllerTest.cpp
+++ b/unittests/Admission/AdmissionControllerTest.cpp
@@ -57,32 +57,32 @@
     request.requestClass = "chat";
     CHECK(fixture.controller.admit(request, fixture.now).admitted());
     CHECK(reasonOf(fixture.controller.admit(request, fixture.now)) == RefusalReason::DuplicateId);
-    REQUIRE(fixture.controller.next(alwaysCanStart, fixture.now));
+    REQUIRE(fixture.controller.startNext(alwaysCanStart, fixture.now));
     CHECK(reasonOf(fixture.controller.admit(request, fixture.now)) == RefusalReason::DuplicateId);
 }
 
 TEST_CASE("a team at its in-flight limit waits while other teams are served")
 {
     TeamLimits limits;
-    limits.inFlight = 2;
+    limits.maxInFlight = 2;
     Fixture fixture({ limitedTeam("a", limits), teamOf("b", 1) });
     for (int i = 0; i < 4; ++i)
         CHECK(fixture.admit("a").admitted());
-    std::optional<QueuedRequest> first = fixture.controller.next(alwaysCanStart, fixture.now);
-    CHECK(fixture.controller.next(alwaysCanStart, fixture.now));
-    CHECK_FALSE(fixture.controller.next(alwaysCanStart, fixture.now));
+    std::optional<QueuedRequest> first = fixture.controller.startNext(alwaysCanStart, fixture.now);
+    CHECK(fixture.controller.startNext(alwaysCanStart, fixture.now));
+    CHECK_FALSE(fixture.controller.startNext(alwaysCanStart, fixture.now));
     CHECK(fixture.admit("b").admitted());
-    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->team == "b");
-    fixture.controller.finished(first->id, 100, fixture.now);
-    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->team == "a");
+    CHECK(fixture.controller.startNext(alwaysCanStart, fixture.now)->team == "b");
+    fixture.controller.finish(first->id, 100, fixture.now);
+    CHECK(fixture.controller.startNext(alwaysCanStart, fixture.now)->team == "a");
     CHECK(fixture.controller.inFlight() == 3);
 }
 
 TEST_CASE("requests over a team's or caller's limit are refused with the reason of that limit")
 {
     TeamLimits limits;
-    limits.queued = 3;
-    limits.perCaller = 2;
+    limits.maxQueued = 3;
+    limits.requestsPerCaller = 2;
     Fixture fixture({ limitedTeam("a", limits) });
     CHECK(fixture.admit("a", "x").admitted());
     CHECK(fixture.admit("a", "x").admitted());
@@ -91,9 +91,9 @@
     CHECK(reasonOf(fixture.admit("a", "y")) == RefusalReason::TeamQueueFull);
     // Requests in flight count towards the caller's limit; requests that ended or were
     // removed don't.
-    std::optional<QueuedRequest> started = fixture.controller.next(alwaysCanStart, fixture.now);
+    std::optional<QueuedRequest> started = fixture.controller.startNext(alwaysCanStart, fixture.now);
     CHECK(reasonOf(fixture.admit("a", "x")) == RefusalReason::CallerConcurrency);
-    fixture.controller.finished(started->id, 0, fixture.now);
+    fixture.controller.finish(started->id, 0, fixture.now);
     CHECK(fixture.admit("a", "x").admitted());
     CHECK(fixture.controller.remove(2, fixture.now));
     CHECK_FALSE(fixture.controller.remove(2, fixture.now));
@@ -115,7 +115,7 @@
         CHECK(reasonOf(fixture.admit("a")) == RefusalReason::RequestRate);
         fixture.now += 1us;
         REQUIRE(fixture.admit("a").admitted());
-        fixture.controller.finished(fixture.controller.next(alwaysCanStart, fixture.now)->id, 100, fixture.now);
+        fixture.controller.finish(fixture.controller.startNext(alwaysCanStart, fixture.now)->id, 100, fixture.now);
     }
 }
 
@@ -126,8 +126,8 @@
     TimePoint end = fixture.now + span;
     while (fixture.now < end) {
         fixture.now += 100ms;
-        if (std::optional<QueuedRequest> next = fixture.controller.next(alwaysCanStart, fixture.now))
-            fixture.controller.finished(next->id, 100, fixture.now);
+        if (std::optional<QueuedRequest> next = fixture.controller.startNext(alwaysCanStart, fixture.now))
+            fixture.controller.finish(next->id, 100, fixture.now);
     }
 }
 
@@ -177,8 +177,8 @@
     // Each request costs three times its estimate; ten per second are started.
     for (int i = 0; i < 100; ++i) {
         fixture.now += 100ms;
-        std::optional<QueuedRequest> next = fixture.controller.next(alwaysCanStart, fixture.now);
-        fixture.controller.finished(next->id, 300, fixture.now);
+        std::optional<QueuedRequest> next = fixture.controller.startNext(alwaysCanStart, fixture.now);
+        fixture.controller.finish(next->id, 300, fixture.now);
     }
     QueuedRequest probe = requestOf("a", 0, 100, fixture.now, 60s);
     CHECK(std::chrono::duration<double>(*fixture.controller.predictedWait(probe, fixture.now)).count() == Approx(20).epsilon(0.05));
@@ -191,7 +191,7 @@
         CHECK(fixture.admit("a", "", 5s).admitted());
     for (int i = 0; i < 60; ++i) {
         fixture.now += 100ms;
-        fixture.controller.next([](const QueuedRequest&) { return false; }, fixture.now);
+        fixture.controller.startNext([](const QueuedRequest&) { return false; }, fixture.now);
     }
     std::vector<DroppedRequest> dropped = fixture.controller.expire(fixture.now);
     CHECK(dropped.size() == 50);
@@ -206,7 +206,7 @@
     CHECK(fixture.admit("a", "", 5s).admitted());
     CHECK(fixture.admit("a", "", 5s).admitted());
     fixture.now += 6s;
-    CHECK_FALSE(fixture.controller.next(alwaysCanStart, fixture.now));
+    CHECK_FALSE(fixture.controller.startNext(alwaysCanStart, fixture.now));
     // The caller may still disconnect before expire() returns the request.
     CHECK(fixture.controller.remove(1, fixture.now));
     CHECK_FALSE(fixture.controller.remove(1, fixture.now));
@@ -219,21 +219,21 @@
 TEST_CASE("a full queue evicts the request that ranks lowest")
 {
     AdmissionLimits limits;
-    limits.queuedRequests = 10;
-    limits.queuedBytes = 1000;
+    limits.maxQueuedRequests = 10;
+    limits.maxQueuedBytes = 1000;
     Fixture fixture({ teamOf("greedy", 1), teamOf("b", 1) }, limits);
     for (int i = 0; i < 10; ++i)
         CHECK(fixture.admit("greedy", "x").admitted());
     CHECK(reasonOf(fixture.admit("greedy")) == RefusalReason::QueueFull);
     AdmissionDecision decision = fixture.admit("b");
     REQUIRE(decision.admitted());
-    REQUIRE(decision.dropped.size() == 1);
-    CHECK(decision.dropped[0].request.team == "greedy");
-    CHECK(decision.dropped[0].refusal.reason == RefusalReason::Evicted);
+    REQUIRE(decision.evicted.size() == 1);
+    CHECK(decision.evicted[0].request.team == "greedy");
+    CHECK(decision.evicted[0].refusal.reason == RefusalReason::Evicted);
     CHECK(fixture.controller.queued() == 10);
 
     CHECK(reasonOf(fixture.admit("b", "", 60s, 1001)) == RefusalReason::QueueBytesFull);
-    CHECK(fixture.admit("b", "", 60s, 1000).dropped.size() == 1);
+    CHECK(fixture.admit("b", "", 60s, 1000).evicted.size() == 1);
     decision = fixture.admit("greedy", "", 60s, 500);
     CHECK(decision.refusal);
 }
@@ -243,26 +243,26 @@
     Fixture fixture({ teamOf("a", 1), teamOf("b", 1) });
     CHECK(fixture.admit("a").admitted());
     CHECK(fixture.admit("b").admitted());
-    std::optional<QueuedRequest> first = fixture.controller.next(alwaysCanStart, fixture.now);
-    CHECK(fixture.controller.putBack(first->id, fixture.now));
+    std::optional<QueuedRequest> first = fixture.controller.startNext(alwaysCanStart, fixture.now);
+    CHECK(fixture.controller.requeue(first->id, fixture.now));
     CHECK(fixture.controller.inFlight() == 0);
     CHECK(fixture.controller.queued() == 2);
-    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->id == first->id);
+    CHECK(fixture.controller.startNext(alwaysCanStart, fixture.now)->id == first->id);
     fixture.controller.configure({ teamOf("b", 1) }, fixture.now);
-    CHECK_FALSE(fixture.controller.putBack(first->id, fixture.now));
+    CHECK_FALSE(fixture.controller.requeue(first->id, fixture.now));
 }
 
 TEST_CASE("limits follow a configuration change with work queued and in flight")
 {
     TeamLimits limits;
-    limits.inFlight = 1;
+    limits.maxInFlight = 1;
     Fixture fixture({ limitedTeam("a", limits), teamOf("gone", 1) });
     for (int i = 0; i < 3; ++i) {
         CHECK(fixture.admit("a", "x").admitted());
         CHECK(fixture.admit("gone", "x").admitted());
     }
-    std::optional<QueuedRequest> first = fixture.controller.next(alwaysCanStart, fixture.now);
-    std::optional<QueuedRequest> second = fixture.controller.next(alwaysCanStart, fixture.now);
+    std::optional<QueuedRequest> first = fixture.controller.startNext(alwaysCanStart, fixture.now);
+    std::optional<QueuedRequest> second = fixture.controller.startNext(alwaysCanStart, fixture.now);
     CHECK(first->team != second->team);
 
     std::vector<DroppedRequest> dropped = fixture.controller.configure({ teamOf("a", 1) }, fixture.now);
@@ -271,16 +271,16 @@
         CHECK((entry.request.team == "gone" && entry.refusal.reason == RefusalReason::PolicyRemoved));
     // The limit no longer applies, and a request in flight can finish after its team
     // was removed.
-    CHECK(fixture.controller.next(alwaysCanStart, fixture.now)->team == "a");
-    fixture.controller.finished(first->id, 100, fixture.now);
-    fixture.controller.finished(second->id, 100, fixture.now);
+    CHECK(fixture.controller.startNext(alwaysCanStart, fixture.now)->team == "a");
+    fixture.controller.finish(first->id, 100, fixture.now);
+    fixture.controller.finish(second->id, 100, fixture.now);
     CHECK(fixture.controller.inFlight() == 1);
 
     // A team that is removed and added again still counts its requests in flight.
     fixture.controller.configure({}, fixture.now);
     fixture.controller.configure({ limitedTeam("a", limits) }, fixture.now);
     CHECK(fixture.admit("a").admitted());
-    CHECK_FALSE(fixture.controller.next(alwaysCanStart, fixture.now));
+    CHECK_FALSE(fixture.controller.startNext(alwaysCanStart, fixture.now));
 }
 
 TEST_CASE("short questions find free slots under a flood of long reviews")
@@ -301,7 +301,7 @@
     double longBusySeconds = 0;
     std::function<void()> startRequests = [&] {
         while (busySlots < slots) {
-            std::optional<QueuedRequest> next = controller.next(alwaysCanStart, now());
+            std::optional<QueuedRequest> next = controller.startNext(alwaysCanStart, now());
             if (!next)
                 return;
             ++busySlots;
@@ -312,7 +312,7 @@
                 longBusySeconds += 60;
             scheduler.callAfter(isShort ? Duration(1s) : Duration(60s), [&, done = *next] {
                 --busySlots;
-                controller.finished(done.id, done.cost, now());
+                controller.finish(done.id, done.cost, now());
                 startRequests();
             });
         }
@@ -363,7 +363,7 @@
     std::size_t expired = 0;
     std::function<void()> startRequests = [&] {
         while (busySlots < slots) {
-            std::optional<QueuedRequest> next = fixture.controller.next(alwaysCanStart, fixture.now);
+            std::optional<QueuedRequest> next = fixture.controller.startNext(alwaysCanStart, fixture.now);
             if (!next)
                 return;
             ++busySlots;
@@ -373,7 +373,7 @@
             scheduler.callAfter(std::chrono::ceil<Duration>(std::chrono::duration<double>(actual / 1000)), [&, id = next->id, actual] {
                 --busySlots;
                 fixture.now = scheduler.clock().now();
-                fixture.controller.finished(id, actual, fixture.now);
+                fixture.controller.finish(id, actual, fixture.now);
                 startRequests();
             });
         }
--- a/unittests/Admission/BudgetsTest.cpp
+++ b/unittests/Admission/BudgetsTest.cpp
@@ -21,16 +21,16 @@
     OutputEstimator estimator(2);
     OutputKey key { "a", "chat", "m" };
     CHECK(estimator.expectedOutput(key, 500) == Approx(500));
-    estimator.learn(key, 100);
+    estimator.recordOutput(key, 100);
     double one = estimator.expectedOutput(key, 500);
     CHECK(one > 400);
     CHECK(one < 500);
     for (int i = 0; i < 100; ++i)
-        estimator.learn(key, 100);
+        estimator.recordOutput(key, 100);
     CHECK(estimator.expectedOutput(key, 500) == Approx(100));
     // The estimate follows a change within some dozens of responses.
     for (int i = 0; i < 100; ++i)
-        estimator.learn(key, 300);
+        estimator.recordOutput(key, 300);
     CHECK(estimator.expectedOutput(key, 500) == Approx(300).epsilon(0.05));
 }
 
@@ -39,10 +39,10 @@
     OutputEstimator estimator(2);
     OutputKey a { "a", "chat", "m" };
     OutputKey b { "b", "chat", "m" };
-    estimator.learn(a, 100);
-    estimator.learn(b, 100);
+    estimator.recordOutput(a, 100);
+    estimator.recordOutput(b, 100);
     estimator.expectedOutput(a, 500);
-    estimator.learn({ "c", "chat", "m" }, 100);
+    estimator.recordOutput({ "c", "chat", "m" }, 100);
     CHECK(estimator.size() == 2);
     CHECK(estimator.expectedOutput(a, 500) < 500);
     CHECK(estimator.expectedOutput(b, 500) == Approx(500));
--- a/unittests/Admission/RetryWindowTest.cpp
+++ b/unittests/Admission/RetryWindowTest.cpp
@@ -24,7 +24,7 @@
     TimePoint now { 100s };
     for (int i = 0; i < 500; ++i) {
         now += 20ms;
-        retryWindow.noteRequest(now);
+        retryWindow.recordRequest(now);
     }
     int retries = makeAllRetries(retryWindow, now);
     CHECK(retries >= 50);
@@ -32,7 +32,7 @@
     CHECK(retries + makeAllRetries(withoutRequests, now + 5s) <= 54);
     for (int i = 0; i < 500; ++i) {
         now += 20ms;
-        retryWindow.noteRequest(now);
+        retryWindow.recordRequest(now);
         retries += retryWindow.tryRetry(now) ? 1 : 0;
     }
     CHECK(retries > 90);
@@ -58,7 +58,7 @@
     for (TimePoint now = start; now < start + span; now += 100ms) {
         for (int i = 0; i < entries; ++i) {
             if (random.unit() < requestsPerSecond / 10)
-                retryWindows[static_cast<std::size_t>(i)].noteRequest(now);
+                retryWindows[static_cast<std::size_t>(i)].recordRequest(now);
             retries[static_cast<std::size_t>(i)] += makeAllRetries(retryWindows[static_cast<std::size_t>(i)], now);
         }
     }
@@ -104,7 +104,7 @@
     for (TimePoint now = start; now < start + 60s; now += 7ms) {
         bool isPeak = (now - start) % 15s < 4s;
         if (random.unit() < (isPeak ? 0.9 : 0.05)) {
-            retryWindow.noteRequest(now);
+            retryWindow.recordRequest(now);
             requests.push_back(now);
         }
         if (retryWindow.tryRetry(now))
--- a/unittests/Admission/SlotsTest.cpp
+++ b/unittests/Admission/SlotsTest.cpp
@@ -129,7 +129,7 @@
     TimePoint now { 1h };
     SlotUse use { 20, 0, 15 };
     CHECK(reservation.mayStart(WorkKind::Long, use, now));
-    reservation.noteShort(2, 3, now);
+    reservation.recordShortWorkDemand(2, 3, now);
     CHECK_FALSE(reservation.mayStart(WorkKind::Long, use, now));
     CHECK(reservation.mayStart(WorkKind::Long, { 20, 0, 13 }, now));
     // After some minutes without short work, only the min of 2 in 20 slots is reserved.
--- a/unittests/Admission/WaitLimitTest.cpp
+++ b/unittests/Admission/WaitLimitTest.cpp
@@ -7,9 +7,9 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static WaitDemand firstAttempt()
+static WaitLimitInputs firstAttempt()
 {
-    WaitDemand inputs;
+    WaitLimitInputs inputs;
     inputs.latencyTarget = 600ms;
     inputs.timeout = 5s;
     inputs.timeLeft = 5s;
@@ -18,46 +18,46 @@
 
 TEST_CASE("the max wait is most of the latency target minus the time to first byte of an idle endpoint")
 {
-    CHECK(longestWait(firstAttempt(), 100ms) > 300ms);
-    CHECK(longestWait(firstAttempt(), 100ms) < 500ms);
-    CHECK(longestWait(firstAttempt(), 400ms) < longestWait(firstAttempt(), 100ms));
+    CHECK(maxQueueWait(firstAttempt(), 100ms) > 300ms);
+    CHECK(maxQueueWait(firstAttempt(), 100ms) < 500ms);
+    CHECK(maxQueueWait(firstAttempt(), 400ms) < maxQueueWait(firstAttempt(), 100ms));
     // The max wait isn't zero for an endpoint that can't meet the target even when idle.
-    CHECK(longestWait(firstAttempt(), 10s) > 50ms);
-    WaitDemand withoutTarget = firstAttempt();
+    CHECK(maxQueueWait(firstAttempt(), 10s) > 50ms);
+    WaitLimitInputs withoutTarget = firstAttempt();
     withoutTarget.latencyTarget = 0ms;
-    CHECK(longestWait(withoutTarget, 100ms) > 300ms);
+    CHECK(maxQueueWait(withoutTarget, 100ms) > 300ms);
 }
 
 TEST_CASE("less urgent requests and retries of refused clients have a shorter max wait")
 {
-    WaitDemand lessUrgent = firstAttempt();
+    WaitLimitInputs lessUrgent = firstAttempt();
     lessUrgent.hasMoreUrgent = true;
-    CHECK(longestWait(lessUrgent, 100ms) < longestWait(firstAttempt(), 100ms));
-    WaitDemand retried = firstAttempt();
+    CHECK(maxQueueWait(lessUrgent, 100ms) < maxQueueWait(firstAttempt(), 100ms));
+    WaitLimitInputs retried = firstAttempt();
     retried.timeLeft = 4s;
-    CHECK(longestWait(retried, 100ms) < longestWait(firstAttempt(), 100ms));
-    WaitDemand forwarded = firstAttempt();
+    CHECK(maxQueueWait(retried, 100ms) < maxQueueWait(firstAttempt(), 100ms));
+    WaitLimitInputs forwarded = firstAttempt();
     forwarded.timeLeft = 4'850ms;
-    CHECK(longestWait(forwarded, 100ms) == longestWait(firstAttempt(), 100ms));
+    CHECK(maxQueueWait(forwarded, 100ms) == maxQueueWait(firstAttempt(), 100ms));
 }
 
 TEST_CASE("retry-after times are spread one after the other and stay within the clients' max wait")
 {
-    ReturnSchedule schedule;
+    RetryAfterSchedule schedule;
     Random random(3);
     TimePoint now { 100s };
     std::chrono::milliseconds last { 0 };
     for (int i = 0; i < 10; ++i) {
-        std::chrono::milliseconds next = schedule.book(10ms, 2s, now, random);
+        std::chrono::milliseconds next = schedule.bookRetry(10ms, 2s, now, random);
         CHECK(next > last);
         last = next;
     }
     for (int i = 0; i < 1'000; ++i) {
-        std::chrono::milliseconds next = schedule.book(10ms, 2s, now, random);
+        std::chrono::milliseconds next = schedule.bookRetry(10ms, 2s, now, random);
         CHECK(next <= 2s);
         CHECK(next >= 250ms);
     }
-    CHECK(schedule.book(10ms, 2s, now + 10s, random) < 400ms);
+    CHECK(schedule.bookRetry(10ms, 2s, now + 10s, random) < 400ms);
 }
 
 namespace {
@@ -84,20 +84,20 @@
     };
     OverloadResult result;
     Random random(5);
-    ReturnSchedule schedule;
+    RetryAfterSchedule schedule;
     std::deque<Retry> retries;
     TimePoint start { 100s };
     TimePoint busyUntil = start;
     auto receive = [&](TimePoint now, TimePoint firstAttemptAt) {
-        WaitDemand inputs = firstAttempt();
+        WaitLimitInputs inputs = firstAttempt();
         inputs.timeLeft = std::chrono::duration_cast<std::chrono::milliseconds>(5s - (now - firstAttemptAt));
         Duration wait = std::max<Duration>(busyUntil - now, 0ms);
         bool isRetry = now != firstAttemptAt;
-        if (isLimited && wait > longestWait(inputs, 100ms)) {
+        if (isLimited && wait > maxQueueWait(inputs, 100ms)) {
             if (isRetry)
                 ++result.refusedTwice;
             else
-                retries.push_back({ now + schedule.book(10ms, inputs.timeLeft / 3, now, random), now });
+                retries.push_back({ now + schedule.bookRetry(10ms, inputs.timeLeft / 3, now, random), now });
             return;
         }
         busyUntil = std::max(busyUntil, now) + 10ms;
--- a/unittests/Gateway/ShardCoordinatorTest.cpp
+++ b/unittests/Gateway/ShardCoordinatorTest.cpp
@@ -11,7 +11,7 @@
     MemberView view;
     view.identity.ref.name = name;
     view.state = MemberState::Live;
-    view.hearsUs = true;
+    view.receivesOurMessages = true;
     return view;
 }
 
--- a/unittests/Ingress/CrashExchangeTest.cpp
+++ b/unittests/Ingress/CrashExchangeTest.cpp
@@ -51,12 +51,12 @@
         for (const auto& [from, datagram] : std::exchange(inFlight, {})) {
             absl::StatusOr<CrashReport> report = decodeCrashReport(datagram.bytes);
             REQUIRE(report.ok());
-            byAddress.at(datagram.to)->exchange.take(from, *report, now);
+            byAddress.at(datagram.to)->exchange.handleReport(from, *report, now);
         }
         for (const auto& entry : entries) {
             for (OutgoingDatagram& datagram : entry->exchange.tick(now)) {
                 entry->bytesSent += datagram.bytes.size();
-                inFlight.emplace_back(entry->record.peers, std::move(datagram));
+                inFlight.emplace_back(entry->record.peerAddress, std::move(datagram));
             }
         }
     }
@@ -70,13 +70,13 @@
     {
         RequestFingerprint fingerprint;
         fingerprint.bytes[0] = request;
-        entries[entry]->requests.noteBroken(fingerprint, endpoint, {}, now);
+        entries[entry]->requests.recordBrokenConnection(fingerprint, endpoint, {}, now);
     }
     std::size_t refusingEntries() const
     {
         RequestFingerprint fingerprint;
         fingerprint.bytes[0] = 1;
-        return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), [&](const auto& entry) { return entry->requests.refusedFor(fingerprint, now).has_value(); }));
+        return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), [&](const auto& entry) { return entry->requests.remainingRefusal(fingerprint, now).has_value(); }));
     }
     /// Returns the max number of bytes that one entry has sent since the last call.
     std::size_t maxBytesSent()
--- a/unittests/Ingress/EndpointTableTest.cpp
+++ b/unittests/Ingress/EndpointTableTest.cpp
@@ -47,7 +47,7 @@
     {
         EndpointRequest request;
         request.service = &service;
-        request.tried = &tried;
+        request.attemptedIncarnations = &tried;
         return table.choose(request, now, random);
     }
 
@@ -75,11 +75,11 @@
     fixture.putStart("e1", 1'000ms);
     std::shared_ptr<RoutedEndpoint> before = fixture.choose();
     REQUIRE(before);
-    fixture.table.noteBegan(*before, fixture.now);
-    CHECK(fixture.table.tokensToRead(*before, 20'000, 13'000, "part", fixture.now) == 20'000);
-    CHECK(fixture.table.tokensToRead(*before, 20'000, 13'000, "part", fixture.now) == 7'000);
-    CHECK(fixture.table.waitForHolder(fixture.service, "part", fixture.now));
-    fixture.table.noteEnded(*before, true, fixture.now);
+    fixture.table.recordAttemptStarted(*before, fixture.now);
+    CHECK(fixture.table.recordSegmentAndGetPrefillTokens(*before, 20'000, 13'000, "part", fixture.now) == 20'000);
+    CHECK(fixture.table.recordSegmentAndGetPrefillTokens(*before, 20'000, 13'000, "part", fixture.now) == 7'000);
+    CHECK(fixture.table.minWaitForSegment(fixture.service, "part", fixture.now));
+    fixture.table.recordAttemptEnded(*before, true, fixture.now);
     fixture.putStart("e1", 1'000ms, true);
     CHECK_FALSE(fixture.choose());
     fixture.putStart("e1", 2'000ms);
@@ -87,9 +87,9 @@
     REQUIRE(after);
     CHECK(after != before);
     CHECK(after->hash != before->hash);
-    CHECK(after->inFlight == 0);
+    CHECK(after->requestsInFlight == 0);
     CHECK(after->failureShare == 0);
-    CHECK_FALSE(fixture.table.waitForHolder(fixture.service, "part", fixture.now));
+    CHECK_FALSE(fixture.table.minWaitForSegment(fixture.service, "part", fixture.now));
     CHECK(before->isLeaving);
 }
 
@@ -122,8 +122,8 @@
 {
     TableFixture fixture;
     fixture.put("e1");
-    fixture.table.noteUnreadable("e1");
-    fixture.table.noteUnreadable("never seen");
+    fixture.table.recordUnreadable("e1");
+    fixture.table.recordUnreadable("never seen");
     CHECK_FALSE(fixture.choose());
     CHECK(fixture.table.usableByRegion("service", fixture.now).empty());
     fixture.put("e2");
@@ -148,14 +148,14 @@
 {
     TableFixture fixture;
     fixture.put("e1");
-    fixture.table.noteMissing("e1");
+    fixture.table.recordMissing("e1");
     CHECK(fixture.choose());
     fixture.now += 2s;
     CHECK(fixture.choose());
     fixture.put("e1");
     fixture.table.removeMissing(fixture.now);
     CHECK(fixture.choose());
-    fixture.table.noteMissing("e1");
+    fixture.table.recordMissing("e1");
     fixture.table.removeMissing(fixture.now);
     CHECK_FALSE(fixture.choose());
     CHECK(fixture.table.size() == 0);
@@ -218,7 +218,7 @@
     for (int i = 0; i < 4; ++i) {
         auto endpoint = fixture.choose();
         REQUIRE(endpoint);
-        fixture.table.noteBegan(*endpoint, fixture.now);
+        fixture.table.recordAttemptStarted(*endpoint, fixture.now);
     }
     CHECK_FALSE(fixture.choose());
 }
@@ -230,8 +230,8 @@
     fixture.put("e2");
     auto failing = fixture.choose();
     auto end = [&](bool isFailure) {
-        fixture.table.noteBegan(*failing, fixture.now);
-        fixture.table.noteEnded(*failing, isFailure, fixture.now);
+        fixture.table.recordAttemptStarted(*failing, fixture.now);
+        fixture.table.recordAttemptEnded(*failing, isFailure, fixture.now);
     };
     auto isChosen = [&] {
         for (int i = 0; i < 50; ++i) {
@@ -258,8 +258,8 @@
     fixture.put("e1");
     auto failing = fixture.choose();
     for (int i = 0; i < 20; ++i) {
-        fixture.table.noteBegan(*failing, fixture.now);
-        fixture.table.noteEnded(*failing, true, fixture.now);
+        fixture.table.recordAttemptStarted(*failing, fixture.now);
+        fixture.table.recordAttemptEnded(*failing, true, fixture.now);
     }
     CHECK(fixture.choose() == failing);
 }
@@ -270,17 +270,17 @@
     fixture.put("e1");
     fixture.put("e2");
     auto silent = fixture.choose();
-    fixture.table.noteBegan(*silent, fixture.now);
+    fixture.table.recordAttemptStarted(*silent, fixture.now);
     fixture.now += 1'100ms;
     for (int i = 0; i < 50; ++i)
         CHECK(fixture.choose() != silent);
-    REQUIRE(fixture.table.ownLoads(fixture.now).size() == 1);
-    CHECK(fixture.table.ownLoads(fixture.now)[0].suspicions == 1);
-    fixture.table.noteHeard(*silent, fixture.now);
-    CHECK(fixture.table.ownLoads(fixture.now)[0].suspicions == 0);
+    REQUIRE(fixture.table.ownWorkloads(fixture.now).size() == 1);
+    CHECK(fixture.table.ownWorkloads(fixture.now)[0].suspicions == 1);
+    fixture.table.recordBytesReceived(*silent, fixture.now);
+    CHECK(fixture.table.ownWorkloads(fixture.now)[0].suspicions == 0);
     fixture.now += 1'100ms;
-    fixture.table.noteEnded(*silent, false, fixture.now);
-    CHECK(fixture.table.ownLoads(fixture.now).empty());
+    fixture.table.recordAttemptEnded(*silent, false, fixture.now);
+    CHECK(fixture.table.ownWorkloads(fixture.now).empty());
 }
 
 TEST_CASE("an endpoint that most of its users suspect isn't chosen")
@@ -289,17 +289,17 @@
     fixture.put("e1");
     fixture.put("e2");
     auto suspected = fixture.choose();
-    fixture.table.peerLoads().take({ "third", 1, { { suspected->hash, 0, 0, 0 } } }, fixture.now);
-    fixture.table.peerLoads().take({ "other", 1, { { suspected->hash, 0, 0, 1 } } }, fixture.now);
+    fixture.table.peerLoads().update({ "third", 1, { { suspected->hash, 0, 0, 0 } } }, fixture.now);
+    fixture.table.peerLoads().update({ "other", 1, { { suspected->hash, 0, 0, 1 } } }, fixture.now);
     bool isStillUsed = false;
     for (int i = 0; i < 200; ++i)
         isStillUsed = isStillUsed || fixture.choose() == suspected;
     CHECK(isStillUsed);
-    fixture.table.peerLoads().take({ "third", 2, { { suspected->hash, 4, 0, 1 } } }, fixture.now);
+    fixture.table.peerLoads().update({ "third", 2, { { suspected->hash, 4, 0, 1 } } }, fixture.now);
     for (int i = 0; i < 50; ++i)
         CHECK(fixture.choose() != suspected);
-    fixture.table.peerLoads().take({ "other", 2, {} }, fixture.now);
-    fixture.table.peerLoads().take({ "third", 3, {} }, fixture.now);
+    fixture.table.peerLoads().update({ "other", 2, {} }, fixture.now);
+    fixture.table.peerLoads().update({ "third", 3, {} }, fixture.now);
     bool isChosenAgain = false;
     for (int i = 0; i < 50; ++i)
         isChosenAgain = isChosenAgain || fixture.choose() == suspected;
@@ -314,21 +314,21 @@
         fixture.put("e" + std::to_string(i));
     EndpointRequest request;
     request.service = &fixture.service;
-    request.tried = &fixture.tried;
-    request.sharedPart = "part";
+    request.attemptedIncarnations = &fixture.tried;
+    request.sharedSegment = "part";
     request.sharedTokens = 13'000;
     std::shared_ptr<RoutedEndpoint> owner = fixture.table.choose(request, fixture.now, fixture.random);
     std::shared_ptr<RoutedEndpoint> holder = fixture.choose();
     REQUIRE(holder != owner);
-    fixture.table.takePartsSent({ { holder->hash, partHash("part"), 17 } }, fixture.now);
+    fixture.table.recordPeerSegments({ { holder->hash, segmentHash("part"), 17 } }, fixture.now);
     CHECK(fixture.table.choose(request, fixture.now, fixture.random) == holder);
-    CHECK(fixture.table.tokensToRead(*holder, 17'000, 13'000, "part", fixture.now) == 4'000);
-    std::vector<PartSent> reported = fixture.table.partsSent();
+    CHECK(fixture.table.recordSegmentAndGetPrefillTokens(*holder, 17'000, 13'000, "part", fixture.now) == 4'000);
+    std::vector<PartSent> reported = fixture.table.takeSentSegments();
     REQUIRE(reported.size() == 1);
     CHECK(reported[0].place == holder->hash);
     CHECK(reported[0].kilotokens == 4);
-    CHECK(fixture.table.partsSent().empty());
-    fixture.table.noteNotRead(*holder, "part");
+    CHECK(fixture.table.takeSentSegments().empty());
+    fixture.table.removeSegment(*holder, "part");
     CHECK(fixture.table.choose(request, fixture.now, fixture.random) == owner);
 }
 
@@ -342,13 +342,13 @@
     remote.availabilityZone = "south-a";
     fixture.table.put(remote, fixture.now);
     for (const char* segment : { "a", "b", "c", "d", "e", "f" }) {
-        fixture.table.noteSentToRegion("south", segment, fixture.now);
-        CHECK(fixture.table.regionOfPart("service", segment, {}, fixture.now) == "south");
-        CHECK(fixture.table.regionOfPart("service", segment, { "north" }, fixture.now) == "north");
-        fixture.table.takePartsSent({ { 12'345, partHash(segment), 17 } }, fixture.now);
-        CHECK(fixture.table.regionOfPart("service", segment, {}, fixture.now) == "north");
+        fixture.table.recordSentToRegion("south", segment, fixture.now);
+        CHECK(fixture.table.regionOfSegment("service", segment, {}, fixture.now) == "south");
+        CHECK(fixture.table.regionOfSegment("service", segment, { "north" }, fixture.now) == "north");
+        fixture.table.recordPeerSegments({ { 12'345, segmentHash(segment), 17 } }, fixture.now);
+        CHECK(fixture.table.regionOfSegment("service", segment, {}, fixture.now) == "north");
     }
     fixture.table.remove("away", fixture.now);
-    fixture.table.noteSentToRegion("south", "a", fixture.now);
-    CHECK(fixture.table.regionOfPart("service", "a", {}, fixture.now) == "north");
+    fixture.table.recordSentToRegion("south", "a", fixture.now);
+    CHECK(fixture.table.regionOfSegment("service", "a", {}, fixture.now) == "north");
 }
--- a/unittests/Ingress/EntryFleet.cpp
+++ b/unittests/Ingress/EntryFleet.cpp
@@ -59,7 +59,7 @@
             m_fleet.scheduler.callAfter(latencyInsideRegion, [exchange, callbacks] {
                 if (exchange->isCancelled)
                     return;
-                FakeHttpAnswer answer = catkinwing::refused();
+                FakeHttpAnswer answer = catkinwing::refusalAnswer();
                 callbacks.onHead({ answer.status, answer.headers });
                 callbacks.onEnd({ HttpEnd::Complete, true, "" });
             });
@@ -81,7 +81,7 @@
             at->connectionBreakers.erase(number);
             if (exchange->isCancelled)
                 return;
-            FakeHttpAnswer answer = answered(request, 200, "fine");
+            FakeHttpAnswer answer = endpointAnswer(request, 200, "fine");
             callbacks.onHead({ answer.status, answer.headers });
             callbacks.onBody("fine");
             callbacks.onEnd({ HttpEnd::Complete, true, "" });
@@ -199,7 +199,7 @@
         , log(fleet.scheduler.clock())
         , parts { fleet.scheduler, fleet.random, client, peers, metrics, log, fleet.m_dialect, record.region,
             EndpointTable(record.region, { { "north-a", "north" }, { "south-a", "south" } }), EntryTable(record), { 0.2, 50 }, {}, {}, {}, {}, {}, {}, {}, 0, 0, CrashingRequests(fleet.random.bits()) }
-        , exchange(parts.crashing, parts.entries, record, fleet.random)
+        , exchange(parts.crashingRequests, parts.entries, record, fleet.random)
     {
     }
 
@@ -209,7 +209,7 @@
     PeerClient peers;
     Metrics metrics;
     DecisionLog log;
-    IngressParts parts;
+    IngressContext parts;
     CrashExchange exchange;
     bool isUp { true };
     /// Requests that other entries have forwarded to this one.
@@ -219,7 +219,7 @@
 EntryFleet::EntryFleet(unsigned seed, std::size_t entriesPerRegion, std::size_t endpointsPerRegion, std::vector<std::string> homeRegions)
     : random(seed)
 {
-    m_route = IngressFixture::unary(RequestKind::Idempotent);
+    m_route = IngressFixture::unaryRoute(RequestKind::Idempotent);
     m_route.timeout = routeTimeout;
     m_route.homeRegions = std::move(homeRegions);
     applyRoute();
@@ -262,12 +262,12 @@
 void EntryFleet::makeEntry(std::size_t index)
 {
     m_entries[index] = std::make_unique<Entry>(*this, index, entryKey(index), m_records[index]);
-    m_entryAt[m_records[index].peers] = index;
-    IngressParts& parts = m_entries[index]->parts;
+    m_entryAt[m_records[index].peerAddress] = index;
+    IngressContext& parts = m_entries[index]->parts;
     parts.routes = m_routes;
     parts.startedAt = now();
-    parts.crashing.onUrgent([this, index, entry = m_entries[index].get()] {
-        scheduler.callAfter(latencyInsideRegion, [this, index, entry] { deliver(index, entry->exchange.tellUrgent(now())); });
+    parts.crashingRequests.setUrgentCallback([this, index, entry = m_entries[index].get()] {
+        scheduler.callAfter(latencyInsideRegion, [this, index, entry] { deliver(index, entry->exchange.takeUrgentDatagrams(now())); });
     });
     for (std::size_t i = 0; i < m_records.size(); ++i)
         parts.entries.put(entryKey(i), m_records[i]);
@@ -279,7 +279,7 @@
     scheduler.advance(routeTimeout + step);
 }
 
-IngressParts& EntryFleet::partsOf(std::size_t entry)
+IngressContext& EntryFleet::partsOf(std::size_t entry)
 {
     return m_entries[entry]->parts;
 }
@@ -360,7 +360,7 @@
         scheduler.callAfter(crossesRegions ? latencyBetweenRegions : latencyInsideRegion, [this, from, to, bytes = datagram.bytes] {
             absl::StatusOr<CrashReport> report = decodeCrashReport(bytes);
             assert(report.ok() && "an encoded crash report can be decoded");
-            m_entries[to]->exchange.take(m_records[from].peers, *report, now());
+            m_entries[to]->exchange.handleReport(m_records[from].peerAddress, *report, now());
         });
     }
 }
@@ -395,7 +395,7 @@
 
 void EntryFleet::restartEntry(std::size_t entry)
 {
-    assert(m_entries[entry]->parts.openRequests == 0 && "only an entry without open requests can be restarted");
+    assert(m_entries[entry]->parts.openRequestCount == 0 && "only an entry without open requests can be restarted");
     m_replacedEntries.push_back(std::move(m_entries[entry]));
     makeEntry(entry);
     for (const auto& other : m_entries) {
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -77,7 +77,7 @@
     std::vector<std::size_t> reportBytesSent;
 
     std::size_t entries() const { return m_entries.size(); }
-    IngressParts& partsOf(std::size_t entry);
+    IngressContext& partsOf(std::size_t entry);
     /// Returns the number of attempts with \p body at endpoints after \p time.
     std::size_t attemptsAfter(const std::string& body, TimePoint time) const;
     /// Returns the fraction of the requests with \p body sent at or after \p from that were
--- a/unittests/Ingress/EntryRegistrationTest.cpp
+++ b/unittests/Ingress/EntryRegistrationTest.cpp
@@ -61,7 +61,7 @@
     fixture.registration.start();
     fixture.scheduler.advance(2s);
     fixture.store.erase("entries/a");
-    fixture.registration.noteVanished();
+    fixture.registration.recordKeyDeleted();
     fixture.scheduler.advance(1s);
     CHECK(fixture.keyExists());
 }
--- a/unittests/Ingress/EntryTableTest.cpp
+++ b/unittests/Ingress/EntryTableTest.cpp
@@ -50,7 +50,7 @@
     Random random(1);
     TimePoint now { 10s };
     CHECK(table.choosePeer("south", now, random) == loopback(1'003));
-    table.notePeerFailure(loopback(1'003), now);
+    table.recordPeerFailure(loopback(1'003), now);
     CHECK_FALSE(table.choosePeer("south", now, random));
     CHECK(table.choosePeer("south", now + 2s, random));
     for (int i = 0; i < 20; ++i)
@@ -60,7 +60,7 @@
 TEST_CASE("a missing entry stays in the table until removeMissing()")
 {
     EntryTable table = makeTable();
-    table.noteMissing("s1");
+    table.recordMissing("s1");
     CHECK(table.size() == 4);
     table.removeMissing(TimePoint { 10s });
     CHECK(table.size() == 3);
@@ -73,8 +73,8 @@
     REQUIRE(read.ok());
     CHECK(read->region == "north");
     CHECK(read->availabilityZone == "north-a");
-    CHECK(read->clients == loopback(5));
-    CHECK(read->peers == loopback(1'005));
+    CHECK(read->clientAddress == loopback(5));
+    CHECK(read->peerAddress == loopback(1'005));
     CHECK_FALSE(readEntryRecord("").ok());
     CHECK_FALSE(readEntryRecord("{\"clients\":5}").ok());
     CHECK_FALSE(readEntryRecord("[]").ok());
@@ -116,6 +116,6 @@
     CHECK(table.chooseDepartedPeer("south", now + 10s, random) == loopback(1'003));
     CHECK_FALSE(table.chooseDepartedPeer("north", now + 10s, random));
     CHECK_FALSE(table.chooseDepartedPeer("south", now + 20s, random));
-    table.notePeerFailure(loopback(1'003), now + 10s);
+    table.recordPeerFailure(loopback(1'003), now + 10s);
     CHECK_FALSE(table.chooseDepartedPeer("south", now + 11s, random));
 }
--- a/unittests/Ingress/IngressFixture.cpp
+++ b/unittests/Ingress/IngressFixture.cpp
@@ -21,7 +21,7 @@
             facts.resumeAfter = static_cast<std::uint64_t>(number);
         else if (field.name == "prompt")
             facts.prompt = { { field.value, 13'000 }, { "own", 300 } };
-        facts.forwarded.add(field.name, field.value);
+        facts.forwardedHeaders.add(field.name, field.value);
     }
     return facts;
 }
@@ -34,12 +34,12 @@
         headers.set("resume-after", std::to_string(*facts.resumeAfter));
 }
 
-static AnswerFacts readTestAnswer(const HttpResponseHead& head)
+static ResponseFacts readTestAnswer(const HttpResponseHead& head)
 {
-    AnswerFacts facts;
+    ResponseFacts facts;
     facts.isEndpointAnswer = head.headers.find("endpoint") != nullptr;
     facts.isOtherIncarnation = head.status == 421;
-    facts.wasNotRun = facts.isOtherIncarnation || head.headers.find("not-run") != nullptr;
+    facts.wasNotExecuted = facts.isOtherIncarnation || head.headers.find("not-run") != nullptr;
     facts.isLeaving = head.headers.find("leaving") != nullptr;
     std::int64_t pause = 0;
     if (const std::string* text = head.headers.find("pause-ms"); text && absl::SimpleAtoi(*text, &pause))
@@ -55,7 +55,7 @@
     dialect.layout = { "configuration", "evacuated/", "endpoints/" };
     dialect.readRequest = readTestRequest;
     dialect.writeAttempt = writeTestAttempt;
-    dialect.readAnswer = readTestAnswer;
+    dialect.readResponse = readTestAnswer;
     return dialect;
 }
 
@@ -65,7 +65,7 @@
     return { { "endpoint", "yes" }, { "request-id", id ? *id : "" } };
 }
 
-FakeHttpAnswer answered(const HttpClientRequest& request, int status, std::string body)
+FakeHttpAnswer endpointAnswer(const HttpClientRequest& request, int status, std::string body)
 {
     FakeHttpAnswer answer = FakeHttpAnswer::ok(std::move(body));
     answer.status = status;
@@ -73,7 +73,7 @@
     return answer;
 }
 
-FakeHttpAnswer refused()
+FakeHttpAnswer refusalAnswer()
 {
     FakeHttpAnswer answer = FakeHttpAnswer::ok("");
     answer.status = 503;
@@ -88,7 +88,7 @@
 
 FakeHttpAnswer streamAnswer(const HttpClientRequest& request, const std::vector<int>& ids)
 {
-    FakeHttpAnswer answer = answered(request, 200, "");
+    FakeHttpAnswer answer = endpointAnswer(request, 200, "");
     answer.headers.add("content-type", "text/event-stream");
     for (int id : ids)
         answer.body.push_back(eventText(id));
@@ -115,10 +115,10 @@
     // Fills the retry budget, which grows with the number of requests, so that tests may
     // retry.
     for (int i = 0; i < 50; ++i)
-        parts.retryBudgetOf("service").noteRequest(scheduler.clock().now());
+        parts.retryBudgetOf("service").recordRequest(scheduler.clock().now());
 }
 
-Route IngressFixture::unary(RequestKind kind, unsigned attempts)
+Route IngressFixture::unaryRoute(RequestKind kind, unsigned attempts)
 {
     Route route;
     route.name = "route";
@@ -133,7 +133,7 @@
 
 Route IngressFixture::streamRoute(bool isResumable)
 {
-    Route route = unary(RequestKind::Streaming);
+    Route route = unaryRoute(RequestKind::Streaming);
     route.isResumable = isResumable;
     return route;
 }
--- a/unittests/Ingress/IngressFixture.h
+++ b/unittests/Ingress/IngressFixture.h
@@ -13,9 +13,9 @@
 Dialect testDialect();
 
 /// Returns an endpoint's answer to \p request.
-FakeHttpAnswer answered(const HttpClientRequest& request, int status, std::string body);
+FakeHttpAnswer endpointAnswer(const HttpClientRequest& request, int status, std::string body);
 /// Returns an endpoint's refusal that states that the request was not executed.
-FakeHttpAnswer refused();
+FakeHttpAnswer refusalAnswer();
 /// Returns a complete event stream with the events of \p ids.
 FakeHttpAnswer streamAnswer(const HttpClientRequest& request, const std::vector<int>& ids);
 /// Returns the text of one event of a stream.
@@ -27,7 +27,7 @@
 
     /// Applies a configuration that consists of one route and its only service.
     void configure(Route route);
-    static Route unary(RequestKind kind, unsigned attempts = 2);
+    static Route unaryRoute(RequestKind kind, unsigned attempts = 2);
     static Route streamRoute(bool isResumable);
     void addEndpoint(const std::string& incarnation, const std::string& zone = "north-a");
     void addEntry(const std::string& name, const std::string& region, int port);
@@ -46,7 +46,7 @@
     Metrics metrics;
     DecisionLog log { scheduler.clock() };
     Dialect dialect;
-    IngressParts parts;
+    IngressContext parts;
     /// Answers of endpoints, in the order of the requests. The last one repeats.
     std::vector<std::function<FakeHttpAnswer(const HttpClientRequest&)>> answers;
 
--- a/unittests/Ingress/LoadExchangeTest.cpp
+++ b/unittests/Ingress/LoadExchangeTest.cpp
@@ -49,7 +49,7 @@
         }
         for (const auto& [key, record] : records) {
             entries.push_back(std::make_unique<ExchangeEntry>(key, record, records));
-            byAddress[record.peers] = entries.back().get();
+            byAddress[record.peerAddress] = entries.back().get();
         }
     }
 
@@ -75,24 +75,24 @@
         ++to.datagramsReceived;
         absl::StatusOr<LoadReport> report = decodeLoadReport(datagram.bytes);
         if (report.ok()) {
-            to.exchange.takeReport(*report, now);
+            to.exchange.handleReport(*report, now);
             return;
         }
         absl::StatusOr<LoadDigest> digest = decodeLoadDigest(datagram.bytes);
         REQUIRE(digest.ok());
-        to.exchange.takeDigest(*digest, now);
+        to.exchange.handleDigest(*digest, now);
     }
 
     /// Starts a request of each entry at the endpoint.
     void startRequests()
     {
         for (const auto& entry : entries)
-            entry->endpoints.forEach([&](RoutedEndpoint& endpoint) { entry->endpoints.noteBegan(endpoint, now); });
+            entry->endpoints.forEach([&](RoutedEndpoint& endpoint) { entry->endpoints.recordAttemptStarted(endpoint, now); });
     }
 
     std::uint32_t knownRequests(const ExchangeEntry& entry) const
     {
-        return const_cast<ExchangeEntry&>(entry).endpoints.peerLoads().at(entry.hash).requests;
+        return const_cast<ExchangeEntry&>(entry).endpoints.peerLoads().sumFor(entry.hash).requests;
     }
 
     /// Returns the keys of the collectors: the entries that send more than four datagrams
@@ -205,13 +205,13 @@
         SimulatedRegion world(100);
         ExchangeEntry& from = *world.entries[sender];
         std::shared_ptr<RoutedEndpoint> none;
-        from.endpoints.forEach([&](RoutedEndpoint& endpoint) { from.endpoints.tokensToRead(endpoint, 17'000, 13'000, "part", world.now); });
+        from.endpoints.forEach([&](RoutedEndpoint& endpoint) { from.endpoints.recordSegmentAndGetPrefillTokens(endpoint, 17'000, 13'000, "part", world.now); });
         ServiceSettings service;
         service.name = "service";
         for (int i = 0; i < 5; ++i)
             world.runRound();
         for (const auto& entry : world.entries)
-            CHECK(entry->endpoints.waitForHolder(service, "part", world.now));
+            CHECK(entry->endpoints.minWaitForSegment(service, "part", world.now));
     }
 }
 
--- a/unittests/Ingress/PeerLoadsTest.cpp
+++ b/unittests/Ingress/PeerLoadsTest.cpp
@@ -9,20 +9,20 @@
 {
     PeerLoads loads;
     TimePoint now { 10s };
-    loads.take({ "a", 1, { { 7, 3, 2, 0 }, { 8, 1, 0, 0 } } }, now);
-    loads.take({ "b", 5, { { 7, 2, 0, 0 } } }, now);
-    CHECK(loads.at(7).requests == 5);
-    CHECK(loads.at(7).unreadKilotokens == 2);
-    loads.take({ "a", 3, { { 7, 1, 0, 0 } } }, now + 200ms);
-    CHECK(loads.at(7).requests == 3);
-    CHECK(loads.at(8).requests == 0);
-    loads.take({ "a", 2, { { 7, 50, 0, 0 } } }, now + 200ms);
-    CHECK(loads.at(7).requests == 3);
+    loads.update({ "a", 1, { { 7, 3, 2, 0 }, { 8, 1, 0, 0 } } }, now);
+    loads.update({ "b", 5, { { 7, 2, 0, 0 } } }, now);
+    CHECK(loads.sumFor(7).requests == 5);
+    CHECK(loads.sumFor(7).unreadKilotokens == 2);
+    loads.update({ "a", 3, { { 7, 1, 0, 0 } } }, now + 200ms);
+    CHECK(loads.sumFor(7).requests == 3);
+    CHECK(loads.sumFor(8).requests == 0);
+    loads.update({ "a", 2, { { 7, 50, 0, 0 } } }, now + 200ms);
+    CHECK(loads.sumFor(7).requests == 3);
     loads.expire(now + 1'100ms);
-    CHECK(loads.at(7).requests == 1);
+    CHECK(loads.sumFor(7).requests == 1);
     loads.expire(now + 2s);
-    CHECK(loads.at(7).requests == 0);
-    CHECK(loads.entries() == 0);
+    CHECK(loads.sumFor(7).requests == 0);
+    CHECK(loads.entryCount() == 0);
 }
 
 TEST_CASE("sums stay correct over many reports of many entries")
@@ -39,7 +39,7 @@
                     report.loads.push_back({ endpoint, requests, requests / 2, 0 });
             }
             last[entry] = report;
-            loads.take(std::move(report), now);
+            loads.update(std::move(report), now);
         }
         for (std::uint32_t endpoint = 0; endpoint < 30; ++endpoint) {
             std::uint32_t sum = 0;
@@ -47,7 +47,7 @@
                 for (const EndpointWorkload& load : report.loads)
                     sum += load.endpoint == endpoint ? load.requests : 0;
             }
-            CHECK(loads.at(endpoint).requests == sum);
+            CHECK(loads.sumFor(endpoint).requests == sum);
         }
     }
 }
--- a/unittests/Ingress/RelayedStoreTest.cpp
+++ b/unittests/Ingress/RelayedStoreTest.cpp
@@ -156,8 +156,8 @@
         fixture.scheduler.advance(i % 3 == 0 ? 700ms : 5ms);
     }
     fixture.scheduler.advance(2s);
-    CHECK(fixture.relay.store.isDirect());
-    CHECK_FALSE(fixture.follower.store.isDirect());
+    CHECK(fixture.relay.store.watchesDirectly());
+    CHECK_FALSE(fixture.follower.store.watchesDirectly());
     CHECK(fixture.follower.seen.size() == 20);
     CHECK(fixture.follower.seen == fixture.relay.seen);
     CHECK(fixture.failures == 0);
@@ -170,13 +170,13 @@
         fixture.network.isUnresponsive = isUnresponsive;
         fixture.network.isUnreachable = true;
         fixture.scheduler.advance(3'500ms);
-        CHECK(fixture.follower.store.isDirect());
+        CHECK(fixture.follower.store.watchesDirectly());
         fixture.shared.put("while-cut", "value");
         fixture.scheduler.advance(100ms);
         CHECK(fixture.follower.seen == std::vector<std::string> { "while-cut" });
         fixture.network.isUnreachable = false;
         fixture.scheduler.advance(5s);
-        CHECK_FALSE(fixture.follower.store.isDirect());
+        CHECK_FALSE(fixture.follower.store.watchesDirectly());
         fixture.shared.put("after", "value");
         fixture.scheduler.advance(100ms);
         CHECK(fixture.follower.seen.back() == "after");
@@ -230,11 +230,11 @@
         CHECK_FALSE(source.reachedAt());
     }
     CHECK(source.revision() == fixture.shared.revision());
-    CHECK(lateEntry.store.age() > 5s);
+    CHECK(lateEntry.store.dataAge() > 5s);
     fixture.shared.setSilent(false);
     fixture.scheduler.advance(10s);
     CHECK(source.reachedAt());
-    CHECK(lateEntry.store.age() < 2s);
+    CHECK(lateEntry.store.dataAge() < 2s);
 }
 
 TEST_CASE("the followers of a relay that lost its store watch watch the store directly")
@@ -242,7 +242,7 @@
     RelayFixture fixture;
     fixture.relay.watch.reset();
     fixture.scheduler.advance(2s);
-    CHECK(fixture.follower.store.isDirect());
+    CHECK(fixture.follower.store.watchesDirectly());
     CHECK(fixture.failures > 0);
     fixture.shared.put("key", "value");
     fixture.scheduler.advance(100ms);
@@ -257,16 +257,16 @@
         fixture.relay.follow(fixture.shared.revision() + 1);
         fixture.scheduler.advance(2s);
     }
-    CHECK(fixture.relay.store.isDirect());
-    CHECK_FALSE(fixture.follower.store.isDirect());
+    CHECK(fixture.relay.store.watchesDirectly());
+    CHECK_FALSE(fixture.follower.store.watchesDirectly());
     CHECK(fixture.failures == 0);
     fixture.shared.put("key", "value");
     fixture.scheduler.advance(100ms);
     CHECK(fixture.follower.seen == std::vector<std::string> { "key" });
     fixture.relay.watch.reset();
     fixture.scheduler.advance(2s);
-    CHECK_FALSE(fixture.relay.store.isDirect());
-    CHECK(fixture.follower.store.isDirect());
+    CHECK_FALSE(fixture.relay.store.watchesDirectly());
+    CHECK(fixture.follower.store.watchesDirectly());
 }
 
 TEST_CASE("after a compaction the followers of a relay receive the net effect of the lost events from it")
@@ -286,7 +286,7 @@
     fixture.scheduler.advance(3s);
     CHECK(fixture.follower.seen == std::vector<std::string> { "stays", "goes", "stays", "new", "goes" });
     CHECK(fixture.historyGapCount > 0);
-    CHECK_FALSE(fixture.follower.store.isDirect());
+    CHECK_FALSE(fixture.follower.store.watchesDirectly());
     CHECK(fixture.follower.watchEndCount == 0);
     // The store received one listing and one watch, both from the relay.
     CHECK(fixture.shared.calls(StoreCallGroup::Read) == reads + 2);
@@ -309,7 +309,7 @@
     int requests = fixture.network.requests;
     fixture.scheduler.advance(6s);
     CHECK(fixture.network.requests - requests <= 6);
-    CHECK_FALSE(fixture.follower.store.isDirect());
+    CHECK_FALSE(fixture.follower.store.watchesDirectly());
 }
 
 TEST_CASE("the followers of a relay that stops relaying watch the store directly at once")
@@ -317,7 +317,7 @@
     RelayFixture fixture;
     fixture.relay.store.stopRelaying();
     fixture.scheduler.advance(400ms);
-    CHECK(fixture.follower.store.isDirect());
+    CHECK(fixture.follower.store.watchesDirectly());
 }
 
 TEST_CASE("a mirror refuses a revision before its oldest change and answers a later one than its own with no changes")
--- a/unittests/Ingress/RoutedRunTest.cpp
+++ b/unittests/Ingress/RoutedRunTest.cpp
@@ -17,7 +17,7 @@
 
 static FakeHttpAnswer succeeding(const HttpClientRequest& request)
 {
-    return answered(request, 200, "fine");
+    return endpointAnswer(request, 200, "fine");
 }
 
 static FakeHttpAnswer unresponsive(const HttpClientRequest&)
@@ -31,13 +31,13 @@
 
 static FakeHttpAnswer refusing(const HttpClientRequest&)
 {
-    return refused();
+    return refusalAnswer();
 }
 
 TEST_CASE("a request names the incarnation of its endpoint, and the client gets the complete answer")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { succeeding };
     auto client = fixture.runToEnd();
@@ -46,7 +46,7 @@
     CHECK(client->isFinished);
     CHECK(fixture.sentHeader(0, "incarnation") == "e1");
     CHECK(fixture.endpointClient.requests[0].target == "/p/1");
-    CHECK(fixture.parts.openRequests == 0);
+    CHECK(fixture.parts.openRequestCount == 0);
 }
 
 TEST_CASE("requests are refused as not run before a configuration is known")
@@ -61,7 +61,7 @@
 TEST_CASE("a request without a route is answered with status 404")
 {
     IngressFixture fixture;
-    Route other = IngressFixture::unary(RequestKind::Idempotent);
+    Route other = IngressFixture::unaryRoute(RequestKind::Idempotent);
     other.prefix = "/q/";
     fixture.configure(other);
     CHECK(fixture.runToEnd()->status() == 404);
@@ -70,7 +70,7 @@
 TEST_CASE("a non-idempotent request whose answer is lost fails and isn't retried")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { lostAnswer, succeeding };
@@ -84,7 +84,7 @@
 {
     for (auto failure : { unreachable, refusing }) {
         IngressFixture fixture;
-        fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+        fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
         fixture.addEndpoint("e1");
         fixture.addEndpoint("e2");
         fixture.answers = { failure, succeeding };
@@ -98,7 +98,7 @@
 TEST_CASE("a request that every endpoint refuses is refused as not run")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { refusing };
@@ -112,7 +112,7 @@
 TEST_CASE("an idempotent request is retried up to its route's number of attempts")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.addEndpoint("e3");
@@ -125,9 +125,9 @@
 TEST_CASE("an endpoint's error answer is delivered if no retry succeeds")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     fixture.addEndpoint("e1");
-    fixture.answers = { [](const HttpClientRequest& request) { return answered(request, 500, "broken"); } };
+    fixture.answers = { [](const HttpClientRequest& request) { return endpointAnswer(request, 500, "broken"); } };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 500);
     CHECK(client->body == "broken");
@@ -137,7 +137,7 @@
 TEST_CASE("a request isn't retried when the retry budget is used up")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     while (fixture.parts.retryBudgetOf("service").tryRetry(fixture.scheduler.clock().now())) { }
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
@@ -149,7 +149,7 @@
 TEST_CASE("a request that is refused right after the entry's start is retried at another endpoint")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.parts.retryBudgets.clear();
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
@@ -160,10 +160,10 @@
 TEST_CASE("an answer to another request is never delivered")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = answered(request, 200, "of another");
+        FakeHttpAnswer answer = endpointAnswer(request, 200, "of another");
         answer.headers.set("request-id", "id-0");
         return answer;
     } };
@@ -176,7 +176,7 @@
 TEST_CASE("an endpoint whose address now belongs to another incarnation isn't used again")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest&) {
         FakeHttpAnswer answer = FakeHttpAnswer::ok("");
@@ -191,7 +191,7 @@
 TEST_CASE("the answer at the route's timeout states whether the request may have run")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     for (bool hasReached : { true, false }) {
         fixture.answers = { [hasReached](const HttpClientRequest&) {
@@ -213,15 +213,15 @@
 TEST_CASE("a stopping entry accepts later requests only if their deadline is before its end")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { [](const HttpClientRequest& request) { return answered(request, 200, "done"); } };
+    fixture.answers = { [](const HttpClientRequest& request) { return endpointAnswer(request, 200, "done"); } };
     TimePoint began = fixture.scheduler.clock().now();
-    fixture.parts.stop = PlannedStop { began, began + 4500ms };
+    fixture.parts.plannedStop = PlannedStop { began, began + 4500ms };
     CHECK(fixture.runToEnd()->status() == 200);
-    fixture.parts.stop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 1000ms };
+    fixture.parts.plannedStop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 1000ms };
     CHECK(fixture.runToEnd()->status() == 200);
-    fixture.parts.stop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 999ms };
+    fixture.parts.plannedStop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 999ms };
     auto late = fixture.start();
     CHECK(late->isFinished);
     CHECK(late->status() == 503);
@@ -233,12 +233,12 @@
 TEST_CASE("a request bound to another region goes to an entry there whose registration has been removed")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::NonIdempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::NonIdempotent);
     route.homeRegions = { "south" };
     fixture.configure(route);
     fixture.addEndpoint("e1", "south-a");
     fixture.addEntry("s1", "south", 5'000);
-    fixture.peerClient.handler = [](const HttpClientRequest& request) { return answered(request, 200, "done"); };
+    fixture.peerClient.handler = [](const HttpClientRequest& request) { return endpointAnswer(request, 200, "done"); };
     fixture.parts.entries.remove("s1", fixture.scheduler.clock().now());
     CHECK(fixture.runToEnd()->status() == 200);
     CHECK(fixture.peerClient.requests.size() == 1);
@@ -247,7 +247,7 @@
 TEST_CASE("a client's own deadline is sent to the endpoint if it is earlier than the route's")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { succeeding };
     fixture.runToEnd({ { "time-left", "300" } });
@@ -258,7 +258,7 @@
 TEST_CASE("the attempt is cancelled when the client disconnects")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
         FakeHttpAnswer answer = succeeding(request);
@@ -271,7 +271,7 @@
     CHECK(fixture.endpointClient.exchanges[0]->isCancelled);
     fixture.scheduler.advance(2s);
     CHECK(fixture.endpointClient.requests.size() == 1);
-    CHECK(fixture.parts.openRequests == 0);
+    CHECK(fixture.parts.openRequestCount == 0);
 }
 
 TEST_CASE("a broken stream resumes at another endpoint after its last complete event")
@@ -328,7 +328,7 @@
 TEST_CASE("requests of a route bound to other regions are forwarded there and never run here")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::NonIdempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::NonIdempotent);
     route.homeRegions = { "south" };
     fixture.configure(route);
     fixture.addEndpoint("e1");
@@ -348,7 +348,7 @@
 TEST_CASE("a long shared segment is read in one region, and here if that region is unreachable")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::Idempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::Idempotent);
     route.hasPromptAffinity = true;
     fixture.configure(route);
     fixture.addEndpoint("e1");
@@ -360,14 +360,14 @@
     for (int segment = 0; segment < 40; ++segment) {
         std::size_t before = fixture.endpointClient.requests.size();
         TimePoint now = fixture.scheduler.clock().now();
-        bool isKeptHere = fixture.parts.endpoints.regionOfPart("service", std::to_string(segment), {}, now) == "north";
+        bool isKeptHere = fixture.parts.endpoints.regionOfSegment("service", std::to_string(segment), {}, now) == "north";
         CHECK(fixture.runToEnd({ { "prompt", std::to_string(segment) } })->status() == 200);
         CHECK(fixture.endpointClient.requests.size() - before == (isKeptHere ? 1 : 0));
         keptHere += isKeptHere ? 1 : 0;
     }
     CHECK(keptHere > 8);
     CHECK(keptHere < 32);
-    CHECK(fixture.parts.endpoints.regionOfPart("service", "1", { "south" }, fixture.scheduler.clock().now()) == "south");
+    CHECK(fixture.parts.endpoints.regionOfSegment("service", "1", { "south" }, fixture.scheduler.clock().now()) == "south");
     fixture.peerClient.handler = unreachable;
     for (int segment = 0; segment < 10; ++segment)
         CHECK(fixture.runToEnd({ { "prompt", std::to_string(segment) } })->status() == 200);
@@ -379,7 +379,7 @@
 {
     for (bool isBound : { true, false }) {
         IngressFixture fixture;
-        Route route = IngressFixture::unary(RequestKind::Idempotent);
+        Route route = IngressFixture::unaryRoute(RequestKind::Idempotent);
         route.hasPromptAffinity = true;
         if (isBound)
             route.homeRegions = { "south" };
@@ -388,18 +388,18 @@
         fixture.addEntry("south-1", "south", 77);
         fixture.peerClient.handler = succeeding;
         CHECK(fixture.runToEnd({ { "prompt", "part" } })->status() == 200);
-        CHECK(fixture.parts.endpoints.partsSent().size() == (isBound ? 0 : 1));
+        CHECK(fixture.parts.endpoints.takeSentSegments().size() == (isBound ? 0 : 1));
     }
 }
 
 TEST_CASE("attempts at another entry's endpoints count against the route's attempts")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     fixture.addEndpoint("e2", "south-a");
     fixture.addEntry("south-1", "south", 77);
     fixture.peerClient.handler = [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = answered(request, 500, "broken");
+        FakeHttpAnswer answer = endpointAnswer(request, 500, "broken");
         answer.headers.add(endpointAttemptsHeader, "2");
         return answer;
     };
@@ -413,7 +413,7 @@
 TEST_CASE("an entry reports its number of attempts to the forwarding entry")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { succeeding };
     auto client = fixture.runToEnd({}, true);
@@ -441,7 +441,7 @@
 TEST_CASE("an attempt is abandoned when its endpoint restarts, and an idempotent request is retried at the restarted endpoint")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent));
     EndpointRecord record;
     record.incarnation = "e1";
     record.startedAt = 1s;
@@ -467,12 +467,12 @@
 struct BusyRegionFixture {
     explicit BusyRegionFixture(std::int64_t unread)
     {
-        Route route = IngressFixture::unary(RequestKind::NonIdempotent);
+        Route route = IngressFixture::unaryRoute(RequestKind::NonIdempotent);
         route.latencyTarget = 600ms;
         fixture.configure(route);
         fixture.addEndpoint("e1");
         fixture.addEndpoint("e2");
-        fixture.parts.endpoints.forEach([unread](RoutedEndpoint& endpoint) { endpoint.unreadTokens = unread; });
+        fixture.parts.endpoints.forEach([unread](RoutedEndpoint& endpoint) { endpoint.unprefilledTokens = unread; });
         fixture.addEndpoint("s1", "south-a");
         fixture.addEntry("south-entry", "south", 50);
         fixture.answers = { succeeding };
@@ -482,7 +482,7 @@
     void reportWaitInSouth(std::chrono::milliseconds wait)
     {
         RegionReport report { "south", "south-entry", ++sequence, { { serviceHash("service"), 2, wait, 20'000us, 0us } } };
-        fixture.parts.outlooks.take(report, fixture.scheduler.clock().now());
+        fixture.parts.outlooks.update(report, fixture.scheduler.clock().now());
     }
 
     IngressFixture fixture;
@@ -538,10 +538,10 @@
     Route route = IngressFixture::streamRoute(true);
     route.latencyTarget = 600ms;
     regions.fixture.configure(route);
-    regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens = 0; });
+    regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unprefilledTokens = 0; });
     regions.fixture.answers = {
         [&regions](const HttpClientRequest& request) {
-            regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens += 60'000; });
+            regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unprefilledTokens += 60'000; });
             FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
             answer.end = HttpEnd::Truncated;
             return answer;
@@ -560,7 +560,7 @@
 {
     for (RequestKind kind : { RequestKind::Idempotent, RequestKind::NonIdempotent }) {
         IngressFixture fixture;
-        Route route = IngressFixture::unary(kind);
+        Route route = IngressFixture::unaryRoute(kind);
         route.timeout = 5s;
         fixture.configure(route);
         fixture.addEndpoint("e1");
@@ -568,18 +568,18 @@
         fixture.answers = { unresponsive, succeeding };
         auto client = fixture.start();
         fixture.scheduler.advance(800ms);
-        fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+        fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
         fixture.scheduler.advance(10ms);
         CHECK(fixture.endpointClient.requests.size() == 1);
         fixture.scheduler.advance(800ms);
-        fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+        fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
         fixture.scheduler.advance(10ms);
         bool isRetried = kind == RequestKind::Idempotent;
         CHECK(fixture.endpointClient.requests.size() == (isRetried ? 2u : 1u));
         CHECK((isRetried ? client->status() == 200 : !client->head));
         // The deadline ends a request that still waits.
         fixture.scheduler.advance(10s);
-        CHECK(fixture.parts.openRequests == 0);
+        CHECK(fixture.parts.openRequestCount == 0);
     }
 }
 
@@ -601,7 +601,7 @@
     };
     auto client = fixture.start();
     fixture.scheduler.advance(1'600ms);
-    fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+    fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
     fixture.scheduler.advance(100ms);
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3));
     CHECK(fixture.endpointClient.exchanges[0]->isCancelled);
@@ -611,7 +611,7 @@
 TEST_CASE("an entry that was paused doesn't treat endpoints as unresponsive")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::Idempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::Idempotent);
     route.timeout = 5s;
     fixture.configure(route);
     fixture.addEndpoint("e1");
@@ -619,12 +619,12 @@
     fixture.answers = { unresponsive, succeeding };
     fixture.start();
     fixture.scheduler.advance(3s);
-    fixture.parts.endpoints.forgiveSilence(fixture.scheduler.clock().now());
-    fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+    fixture.parts.endpoints.resetSilence(fixture.scheduler.clock().now());
+    fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
     fixture.scheduler.advance(10ms);
     CHECK(fixture.endpointClient.requests.size() == 1);
     fixture.scheduler.advance(10s);
-    CHECK(fixture.parts.openRequests == 0);
+    CHECK(fixture.parts.openRequestCount == 0);
 }
 
 // Guards against forwarding a request to one region after the other when a refusal
@@ -632,7 +632,7 @@
 TEST_CASE("a refusal that holds everywhere is delivered with its retry-after time, and the request isn't forwarded again")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1", "south-a");
     fixture.addEntry("s1", "south", 11);
     fixture.addEntry("s2", "south", 12);
@@ -648,19 +648,19 @@
     CHECK(*client->head->headers.find("retry-after") == "90.5");
     CHECK_FALSE(client->head->headers.find(refusedEverywhereHeader));
     CHECK(fixture.peerClient.requests.size() == 1);
-    CHECK(fixture.parts.regionAcceptances["service"].readiness("south", fixture.scheduler.clock().now()) == 1);
+    CHECK(fixture.parts.regionAcceptances["service"].acceptanceOf("south", fixture.scheduler.clock().now()) == 1);
 }
 
 TEST_CASE("the refusal of a forwarded request states if it holds everywhere")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 1));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 1));
     for (int i = 1; i <= 4; ++i)
         fixture.addEndpoint("e" + std::to_string(i));
     fixture.answers = { lostAnswer };
     for (int i = 0; i < 3; ++i) {
         CHECK(fixture.runToEnd()->status() == 502);
-        fixture.parts.crashing.houseKeep(fixture.scheduler.clock().now());
+        fixture.parts.crashingRequests.settleAndExpire(fixture.scheduler.clock().now());
         fixture.parts.endpoints.remove(fixture.sentHeader(static_cast<std::size_t>(i), "incarnation"), fixture.scheduler.clock().now());
     }
     auto client = fixture.runToEnd({}, true);
@@ -679,7 +679,7 @@
 
 static FakeHttpAnswer pausing(const HttpClientRequest&)
 {
-    FakeHttpAnswer answer = refused();
+    FakeHttpAnswer answer = refusalAnswer();
     answer.headers.add("pause-ms", "6000");
     return answer;
 }
@@ -689,7 +689,7 @@
 TEST_CASE("an endpoint that reports that it is leaving gets no requests until its next start, even if it is registered again")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { leaving };
     CHECK(fixture.runToEnd()->status() == 200);
@@ -713,7 +713,7 @@
 TEST_CASE("a pause in an answer of another incarnation doesn't apply to the chosen endpoint")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { [](const HttpClientRequest&) {
@@ -730,7 +730,7 @@
 TEST_CASE("endpoints that ask for a pause get no requests until its end, and refused clients get that time as retry-after time")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { pausing, pausing, succeeding };
--- a/unittests/Ingress/RunDecisionsTest.cpp
+++ b/unittests/Ingress/RunDecisionsTest.cpp
@@ -24,7 +24,7 @@
     CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
     evidence = completeAnswer();
     CHECK(classifyAttempt(evidence) == AttemptVerdict::Answered);
-    evidence.answer.wasNotRun = true;
+    evidence.answer.wasNotExecuted = true;
     CHECK(classifyAttempt(evidence) == AttemptVerdict::NotRun);
 }
 
--- a/unittests/Ingress/StoreZone.cpp
+++ b/unittests/Ingress/StoreZone.cpp
@@ -238,8 +238,8 @@
     RelayCallbacks relayCallbacks(std::size_t entry)
     {
         RelayCallbacks callbacks;
-        callbacks.findRelay = [this, entry] { return fixture.parts.entries.relay(entryName(entry), fixture.scheduler.clock().now()); };
-        callbacks.recordRelayFailure = [this](const SocketAddress& peer) { fixture.parts.entries.notePeerFailure(peer, fixture.scheduler.clock().now()); };
+        callbacks.findRelay = [this, entry] { return fixture.parts.entries.relayAddress(entryName(entry), fixture.scheduler.clock().now()); };
+        callbacks.recordRelayFailure = [this](const SocketAddress& peer) { fixture.parts.entries.recordPeerFailure(peer, fixture.scheduler.clock().now()); };
         callbacks.recordHistoryGap = [this] { follower.recordHistoryGap(); };
         callbacks.findBootstrapPeer = [entry]() -> std::optional<SocketAddress> {
             return SocketAddress { "127.0.0.1", static_cast<std::uint16_t>(firstPort + (entry == 0 ? 1 : 0)) };
@@ -379,7 +379,7 @@
 
 bool StoreZone::isDirect(std::size_t entry) const
 {
-    return m_entries[entry].process && m_entries[entry].process->relayed.isDirect();
+    return m_entries[entry].process && m_entries[entry].process->relayed.watchesDirectly();
 }
 
 } // namespace catkinwing
--- a/unittests/Membership/CrashingRequestsTest.cpp
+++ b/unittests/Membership/CrashingRequestsTest.cpp
@@ -16,21 +16,21 @@
 /// Records a crash of \p endpoint during \p request at \p at, and settles it.
 static void crash(CrashingRequests& requests, std::uint32_t request, std::uint32_t endpoint, TimePoint at)
 {
-    requests.noteBroken(fingerprint(request), endpoint, {}, at);
-    requests.houseKeep(at + 600ms);
+    requests.recordBrokenConnection(fingerprint(request), endpoint, {}, at);
+    requests.settleAndExpire(at + 600ms);
 }
 
 TEST_CASE("a broken connection counts as a crash unless the endpoint sends data again")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
-    requests.noteBroken(fingerprint(1), 7, {}, now);
-    requests.noteBroken(fingerprint(1), 8, {}, now);
+    requests.recordBrokenConnection(fingerprint(1), 7, {}, now);
+    requests.recordBrokenConnection(fingerprint(1), 8, {}, now);
     // Bytes that were in flight when the connection broke.
-    requests.noteAlive(8, now + 10ms);
-    requests.noteAlive(7, now + 200ms);
-    requests.houseKeep(now + 600ms);
-    std::vector<CrashNotice> settled = requests.takeSettled();
+    requests.recordEndpointAlive(8, now + 10ms);
+    requests.recordEndpointAlive(7, now + 200ms);
+    requests.settleAndExpire(now + 600ms);
+    std::vector<CrashNotice> settled = requests.takeSettledNotices();
     REQUIRE(settled.size() == 1);
     REQUIRE(settled[0].crashes.size() == 1);
     CHECK(settled[0].crashes[0].endpoint == 8);
@@ -41,22 +41,22 @@
 {
     CrashingRequests requests;
     TimePoint now { 100s };
-    requests.noteBroken(fingerprint(1), 7, {}, now);
-    requests.houseKeep(now + 50ms);
-    CHECK(requests.takeSettled().empty());
-    requests.noteGone(7, now + 60ms);
-    requests.houseKeep(now + 100ms);
-    CHECK(requests.takeSettled().size() == 1);
+    requests.recordBrokenConnection(fingerprint(1), 7, {}, now);
+    requests.settleAndExpire(now + 50ms);
+    CHECK(requests.takeSettledNotices().empty());
+    requests.recordEndpointUnreachable(7, now + 60ms);
+    requests.settleAndExpire(now + 100ms);
+    CHECK(requests.takeSettledNotices().size() == 1);
 }
 
 TEST_CASE("an answer before a broken connection is settled clears the request")
 {
     CrashingRequests requests;
     TimePoint now { 100s };
-    requests.noteBroken(fingerprint(1), 7, {}, now);
-    requests.noteSurvived(fingerprint(1), now + 100ms);
-    requests.houseKeep(now + 600ms);
-    CHECK(requests.takeSettled().empty());
+    requests.recordBrokenConnection(fingerprint(1), 7, {}, now);
+    requests.recordSurvival(fingerprint(1), now + 100ms);
+    requests.settleAndExpire(now + 600ms);
+    CHECK(requests.takeSettledNotices().empty());
     CHECK(requests.isEmpty());
 }
 
@@ -66,13 +66,13 @@
     TimePoint now { 100s };
     crash(requests, 1, 7, now);
     crash(requests, 1, 8, now + 1s);
-    CHECK_FALSE(requests.refusedFor(fingerprint(1), now + 2s));
-    requests.noteBroken(fingerprint(1), 9, {}, now + 2s);
-    std::optional<Duration> refused = requests.refusedFor(fingerprint(1), now + 2s);
+    CHECK_FALSE(requests.remainingRefusal(fingerprint(1), now + 2s));
+    requests.recordBrokenConnection(fingerprint(1), 9, {}, now + 2s);
+    std::optional<Duration> refused = requests.remainingRefusal(fingerprint(1), now + 2s);
     REQUIRE(refused);
     CHECK(*refused < 1s);
-    requests.noteAlive(9, now + 2200ms);
-    CHECK_FALSE(requests.refusedFor(fingerprint(1), now + 2200ms));
+    requests.recordEndpointAlive(9, now + 2200ms);
+    CHECK_FALSE(requests.remainingRefusal(fingerprint(1), now + 2200ms));
 }
 
 /// Returns the notice of another entry about a connection that has just broken.
@@ -92,15 +92,15 @@
     TimePoint now { 100s };
     std::vector<CrashingRequests> requests(entries);
     for (CrashingRequests& known : requests)
-        known.take(brokenElsewhere(1, 7), now);
+        known.mergeNotice(brokenElsewhere(1, 7), now);
     for (TimePoint time = now; time < now + 1500ms; time += 10ms) {
         int sendingEntries = 0;
         for (std::size_t rank = 0; rank < entries; ++rank) {
             std::optional<CrashingRequests::RecentCrash> crash = requests[rank].crashToAwait(fingerprint(1), time);
             REQUIRE(crash);
-            bool isTurn = requests[rank].turnOf(fingerprint(1), *crash, { rank, entries }, time) <= time;
+            bool isTurn = requests[rank].nextTurn(fingerprint(1), *crash, { rank, entries }, time) <= time;
             if (isTurn)
-                requests[rank].noteTried(fingerprint(1), time);
+                requests[rank].recordAttempt(fingerprint(1), time);
             sendingEntries += isTurn ? 1 : 0;
         }
         CHECK(sendingEntries <= 1);
@@ -114,45 +114,45 @@
 {
     CrashingRequests requests;
     TimePoint now { 100s };
-    requests.noteBroken(fingerprint(1), 7, {}, now, 80ms);
+    requests.recordBrokenConnection(fingerprint(1), 7, {}, now, 80ms);
     REQUIRE(requests.crashToAwait(fingerprint(1), now));
-    CHECK(requests.crashToAwait(fingerprint(1), now)->isOnlyOwn);
+    CHECK(requests.crashToAwait(fingerprint(1), now)->isOnlyKnownHere);
     CrashingRequests reported = requests;
-    reported.take(brokenElsewhere(1, 8), now);
-    CHECK_FALSE(reported.crashToAwait(fingerprint(1), now)->isOnlyOwn);
-    requests.noteBroken(fingerprint(1), 8, {}, now + 100ms, 80ms);
-    CHECK_FALSE(requests.crashToAwait(fingerprint(1), now + 100ms)->isOnlyOwn);
+    reported.mergeNotice(brokenElsewhere(1, 8), now);
+    CHECK_FALSE(reported.crashToAwait(fingerprint(1), now)->isOnlyKnownHere);
+    requests.recordBrokenConnection(fingerprint(1), 8, {}, now + 100ms, 80ms);
+    CHECK_FALSE(requests.crashToAwait(fingerprint(1), now + 100ms)->isOnlyKnownHere);
 }
 
 TEST_CASE("a request that was answered before a crash doesn't wait, and the answering entry notifies the others")
 {
     CrashingRequests requests;
     bool isUrgent = false;
-    requests.onUrgent([&] { isUrgent = true; });
+    requests.setUrgentCallback([&] { isUrgent = true; });
     TimePoint now { 100s };
-    requests.noteSurvived(fingerprint(1), now);
-    requests.take(brokenElsewhere(1, 7), now + 2s);
+    requests.recordSurvival(fingerprint(1), now);
+    requests.mergeNotice(brokenElsewhere(1, 7), now + 2s);
     CHECK_FALSE(requests.crashToAwait(fingerprint(1), now + 2s));
     REQUIRE(isUrgent);
-    std::vector<CrashNotice> reported = requests.takeUrgent(now + 2s);
+    std::vector<CrashNotice> reported = requests.takeUrgentNotices(now + 2s);
     REQUIRE(reported.size() == 1);
     CHECK(reported[0].survivedAgo == 2s);
 
     CrashingRequests other;
-    other.take(brokenElsewhere(1, 7), now + 2s);
+    other.mergeNotice(brokenElsewhere(1, 7), now + 2s);
     REQUIRE(other.crashToAwait(fingerprint(1), now + 2s));
-    other.take(reported[0], now + 2s);
+    other.mergeNotice(reported[0], now + 2s);
     CHECK_FALSE(other.crashToAwait(fingerprint(1), now + 2s));
 }
 
 TEST_CASE("the requests dispatched last to a crashed endpoint are reported first")
 {
     CrashingRequests requests;
-    requests.onUrgent([] {});
+    requests.setUrgentCallback([] {});
     TimePoint now { 100s };
     for (std::uint32_t i = 0; i < 40; ++i)
-        requests.noteBroken(fingerprint(i), 7, {}, now, i == 30 ? 80ms : 2s);
-    std::vector<CrashNotice> reported = requests.takeUrgent(now + 2ms);
+        requests.recordBrokenConnection(fingerprint(i), 7, {}, now, i == 30 ? 80ms : 2s);
+    std::vector<CrashNotice> reported = requests.takeUrgentNotices(now + 2ms);
     REQUIRE(reported.size() < 40);
     CHECK(reported[0].request == fingerprint(30));
     CHECK(reported[0].crashes[0].ranFor == 80ms);
@@ -168,11 +168,11 @@
         crash(requests, 1, 7 + i, now + i * 1s);
     }
     crash(requests, 1, 9, now + 2s);
-    REQUIRE(requests.refusedFor(fingerprint(1), now + 3s));
+    REQUIRE(requests.remainingRefusal(fingerprint(1), now + 3s));
     // The first two crashes of request 2 were caused by request 1.
     crash(requests, 2, 9, now + 2s);
     crash(requests, 2, 10, now + 3s);
-    CHECK_FALSE(requests.refusedFor(fingerprint(2), now + 4s));
+    CHECK_FALSE(requests.remainingRefusal(fingerprint(2), now + 4s));
 }
 
 TEST_CASE("the number of tracked requests is bounded for a million different ones, and a refused one is kept")
@@ -182,14 +182,14 @@
     for (std::uint32_t i = 0; i < 3; ++i)
         crash(requests, 1, 7 + i, now + i * 1s);
     for (std::uint32_t i = 0; i < 1'000'000; ++i) {
-        requests.noteBroken(fingerprint(i + 2), 1'000 + i, {}, now + 3s);
+        requests.recordBrokenConnection(fingerprint(i + 2), 1'000 + i, {}, now + 3s);
         if (i % 1'000 == 0) {
-            requests.houseKeep(now + 4s);
-            requests.takeSettled();
+            requests.settleAndExpire(now + 4s);
+            requests.takeSettledNotices();
         }
     }
     CHECK(requests.size() <= 4'096);
-    CHECK(requests.refusedFor(fingerprint(1), now + 5s));
+    CHECK(requests.remainingRefusal(fingerprint(1), now + 5s));
 }
 
 TEST_CASE("a reported refusal that is too long is ignored")
@@ -200,9 +200,9 @@
     notice.request = fingerprint(1);
     notice.refusals = 1;
     notice.refusedFor = std::chrono::hours(500);
-    requests.take(notice, now);
-    CHECK_FALSE(requests.refusedFor(fingerprint(1), now));
+    requests.mergeNotice(notice, now);
+    CHECK_FALSE(requests.remainingRefusal(fingerprint(1), now));
     notice.refusedFor = 1min;
-    requests.take(notice, now);
-    CHECK(requests.refusedFor(fingerprint(1), now));
+    requests.mergeNotice(notice, now);
+    CHECK(requests.remainingRefusal(fingerprint(1), now));
 }
--- a/unittests/Membership/FailureDetectionTest.cpp
+++ b/unittests/Membership/FailureDetectionTest.cpp
@@ -16,19 +16,19 @@
 TEST_CASE("silence makes a member suspect, then dead")
 {
     MembershipOptions options;
-    CHECK(judgeSilence(options, 0s, 1s) == MemberState::Live);
-    CHECK(judgeSilence(options, 6s, 3s) == MemberState::Live);
-    CHECK(judgeSilence(options, 6001ms, 3s) == MemberState::Suspect);
-    CHECK(judgeSilence(options, 12s, 3s) == MemberState::Suspect);
-    CHECK(judgeSilence(options, 12001ms, 3s) == MemberState::Dead);
+    CHECK(stateAfterSilence(options, 0s, 1s) == MemberState::Live);
+    CHECK(stateAfterSilence(options, 6s, 3s) == MemberState::Live);
+    CHECK(stateAfterSilence(options, 6001ms, 3s) == MemberState::Suspect);
+    CHECK(stateAfterSilence(options, 12s, 3s) == MemberState::Suspect);
+    CHECK(stateAfterSilence(options, 12001ms, 3s) == MemberState::Dead);
 }
 
 TEST_CASE("at short exchange intervals the minimum times until suspect and dead apply")
 {
     MembershipOptions options;
-    CHECK(judgeSilence(options, options.minSuspectAfter, 1s) == MemberState::Live);
-    CHECK(judgeSilence(options, options.minDeadAfter, 1s) == MemberState::Suspect);
-    CHECK(judgeSilence(options, options.minDeadAfter + 1ms, 1s) == MemberState::Dead);
+    CHECK(stateAfterSilence(options, options.minSuspectAfter, 1s) == MemberState::Live);
+    CHECK(stateAfterSilence(options, options.minDeadAfter, 1s) == MemberState::Suspect);
+    CHECK(stateAfterSilence(options, options.minDeadAfter + 1ms, 1s) == MemberState::Dead);
 }
 
 TEST_CASE("the probe interval doubles up to the maximum")
--- a/unittests/Membership/FakeNetwork.cpp
+++ b/unittests/Membership/FakeNetwork.cpp
@@ -42,7 +42,7 @@
 MembershipEvents FakeNode::events()
 {
     MembershipEvents events;
-    events.onFrozen = [this](Duration span) { pauses.push_back(span); };
+    events.onPaused = [this](Duration span) { pauses.push_back(span); };
     events.onConfigDiffers = [this](const ConfigPeer& peer) { configPeers.push_back(peer); };
     events.onEndpointLeaving = [this](const EndpointLeaving& endpoint) { leaving.push_back(endpoint); };
     events.onServedElsewhere = [this](const ServedElsewhere& served) { servedElsewhere[served.team] += served.tokens; };
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -20,7 +20,7 @@
     std::vector<FakeNode*> nodes;
     for (int i = 1; i <= count; ++i) {
         nodes.push_back(&network.add(absl::StrCat("e", i), zoneName, addressOf(i)));
-        nodes.back()->membership->learn({ { addressOf(1), "", "" } });
+        nodes.back()->membership->addCandidates({ { addressOf(1), "", "" } });
     }
     return nodes;
 }
@@ -99,7 +99,7 @@
     FakeNetwork network(5);
     std::vector<FakeNode*> nodes = startZone(network, 4);
     REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
-    nodes[3]->membership->announceGone();
+    nodes[3]->membership->announceExit();
     network.advance(20ms);
     for (int i = 0; i < 3; ++i)
         CHECK(stateAt(*nodes[i], "e4") == MemberState::Dead);
@@ -124,7 +124,7 @@
         CHECK_FALSE(paused.regardsAsUsable(name));
     CHECK(network.advanceUntil(15s, [&] { return allMembersUsable(nodes); }));
     CHECK(paused.membership->self().ref.incarnation == incarnation);
-    CHECK(nodes[0]->member("e3")->freezes == 1);
+    CHECK(nodes[0]->member("e3")->pauses == 1);
     CHECK(paused.pauses.size() == 1);
 }
 
@@ -135,7 +135,7 @@
     REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     nodes[0]->scheduler.pause();
     network.advance(5s);
-    nodes[0]->membership->checkFrozen();
+    nodes[0]->membership->checkForPause();
     CHECK(nodes[0]->pauses.size() == 1);
     CHECK_FALSE(nodes[0]->regardsAsUsable("e2"));
 }
@@ -175,7 +175,7 @@
     REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.kill(*nodes[2]);
     FakeNode& successor = network.add("other", zoneName, addressOf(3));
-    successor.membership->learn({ { addressOf(1), "", "" } });
+    successor.membership->addCandidates({ { addressOf(1), "", "" } });
     nodes[2] = &successor;
     REQUIRE(network.advanceUntil(5s, [&] { return nodes[0]->regardsAsUsable("other") && nodes[1]->regardsAsUsable("other"); }));
     CHECK(stateAt(*nodes[0], "e3") == MemberState::Dead);
@@ -192,7 +192,7 @@
     REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.advance(5s);
     FakeNode& later = network.add("e3", zoneName, addressOf(30));
-    later.membership->learn({ { addressOf(1), "", "" } });
+    later.membership->addCandidates({ { addressOf(1), "", "" } });
     REQUIRE(network.advanceUntil(10s, [&] { return nodes[2]->isSuperseded; }));
     nodes[2] = &later;
     CHECK(network.advanceUntil(5s, [&] { return allMembersUsable(nodes); }));
@@ -207,7 +207,7 @@
     nodes[2]->scheduler.pause();
     network.advance(20s);
     FakeNode& later = network.add("e3", zoneName, addressOf(30));
-    later.membership->learn({ { addressOf(1), "", "" } });
+    later.membership->addCandidates({ { addressOf(1), "", "" } });
     network.advance(10s);
     nodes[2]->scheduler.resume();
     CHECK(network.advanceUntil(2s, [&] { return nodes[2]->isSuperseded; }));
@@ -221,12 +221,12 @@
     FakeNetwork network(13);
     std::vector<FakeNode*> nodes = startZone(network, 2);
     FakeNode& early = network.add("e3", zoneName, addressOf(3), 1000000);
-    early.membership->learn({ { addressOf(1), "", "" } });
+    early.membership->addCandidates({ { addressOf(1), "", "" } });
     nodes.push_back(&early);
     REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.kill(early);
     FakeNode& late = network.add("e3", zoneName, addressOf(3), 500);
-    late.membership->learn({ { addressOf(1), "", "" } });
+    late.membership->addCandidates({ { addressOf(1), "", "" } });
     nodes[2] = &late;
     CHECK(network.advanceUntil(15s, [&] { return allMembersUsable(nodes); }));
     CHECK(late.membership->self().ref.incarnation.start == 1000001);
@@ -249,7 +249,7 @@
     CHECK(allMembersUsable(right));
     CHECK(stateAt(*left[0], "e6") == MemberState::Dead);
     FakeNode& joiner = network.add("e7", zoneName, addressOf(7));
-    joiner.membership->learn({ { addressOf(6), "", "" } });
+    joiner.membership->addCandidates({ { addressOf(6), "", "" } });
     network.advance(10s);
     network.heal();
     nodes.push_back(&joiner);
@@ -272,7 +272,7 @@
     CHECK(isDrainingEntryUnused());
     CHECK(nodes[0]->member("e2")->draining);
     CHECK(stateAt(*nodes[0], "e2") == MemberState::Live);
-    CHECK(nodes[0]->member("e2")->hearsUs);
+    CHECK(nodes[0]->member("e2")->receivesOurMessages);
 }
 
 TEST_CASE("a leaving run of an endpoint is announced to the zone within two seconds")
@@ -299,7 +299,7 @@
     network.advance(2s);
     CHECK(nodes[1]->leaving.size() == 2);
     FakeNode& joiner = network.add("e10", zoneName, addressOf(10));
-    joiner.membership->learn({ { addressOf(1), "", "" } });
+    joiner.membership->addCandidates({ { addressOf(1), "", "" } });
     network.advance(5s);
     CHECK(joiner.leaving.size() == 2);
 }
--- a/unittests/Membership/PeerChannelTest.cpp
+++ b/unittests/Membership/PeerChannelTest.cpp
@@ -51,14 +51,14 @@
     SentContent second = contentOf(2, {});
     second.hashes = { 2, 1, 1 };
     channel.record(first);
-    CHECK_FALSE(channel.hasOnly(first.hashes));
+    CHECK_FALSE(channel.peerHasExactly(first.hashes));
     channel.acknowledge(1);
-    CHECK(channel.hasOnly(first.hashes));
+    CHECK(channel.peerHasExactly(first.hashes));
     channel.record(second);
-    CHECK_FALSE(channel.hasOnly(first.hashes));
-    CHECK_FALSE(channel.hasOnly(second.hashes));
+    CHECK_FALSE(channel.peerHasExactly(first.hashes));
+    CHECK_FALSE(channel.peerHasExactly(second.hashes));
     channel.acknowledge(2);
-    CHECK(channel.hasOnly(second.hashes));
+    CHECK(channel.peerHasExactly(second.hashes));
 }
 
 TEST_CASE("after a reset nothing counts as known to the member")
@@ -81,7 +81,7 @@
     CHECK(tracker.increment({ "team", 20 }) == 0);
     CHECK(tracker.increment({ "team", 25 }) == 5);
     CHECK(tracker.increment({ "unseen", 70 }) == 0);
-    tracker.noteComplete();
+    tracker.recordComplete();
     CHECK(tracker.increment({ "begun", 70 }) == 70);
     tracker.reset();
     CHECK(tracker.increment({ "begun", 90 }) == 0);
--- a/unittests/Membership/ZoneExchangeTest.cpp
+++ b/unittests/Membership/ZoneExchangeTest.cpp
@@ -30,9 +30,9 @@
         for (std::size_t zone = 0; zone < zoneNames.size(); ++zone) {
             for (std::size_t entry = 0; entry < 3; ++entry) {
                 nodes.push_back(&network.add(nameOf(zone, entry), zoneNames[zone], addressOf(zone, entry)));
-                nodes.back()->membership->learn({ { addressOf(zone, 0), zoneNames[zone], "" } });
+                nodes.back()->membership->addCandidates({ { addressOf(zone, 0), zoneNames[zone], "" } });
                 std::size_t next = (zone + 1) % zoneNames.size();
-                nodes.back()->membership->learn({ { addressOf(next, 0), zoneNames[next], "" } });
+                nodes.back()->membership->addCandidates({ { addressOf(next, 0), zoneNames[next], "" } });
             }
         }
     }
@@ -91,8 +91,8 @@
     FakeNetwork network(23);
     for (std::size_t zone = 0; zone < zoneNames.size(); ++zone)
         network.add(nameOf(zone, 0), zoneNames[zone], addressOf(zone, 0));
-    network.nodes()[0]->membership->learn({ { addressOf(1, 0), "perth-b", "perth" } });
-    network.nodes()[2]->membership->learn({ { addressOf(1, 0), "", "" } });
+    network.nodes()[0]->membership->addCandidates({ { addressOf(1, 0), "perth-b", "perth" } });
+    network.nodes()[2]->membership->addCandidates({ { addressOf(1, 0), "", "" } });
     auto isKnown = [&] {
         const ZoneView* there = network.nodes()[0]->zone("bunbury-a");
         const ZoneView* back = network.nodes()[2]->zone("perth-a");
--- a/unittests/Platform/DocumentsTest.cpp
+++ b/unittests/Platform/DocumentsTest.cpp
@@ -70,7 +70,7 @@
     CHECK(record->address.toString() == "10.1.2.3:80");
     CHECK(record->isLeaving);
     CHECK(record->coldFor == 1500ms);
-    CHECK(record->goneIn == 900ms);
+    CHECK(record->terminatesIn == 900ms);
     CHECK_FALSE(record->startedAt);
     CHECK_FALSE(readEndpoint("i-1", R"({"service":"s","addr":"nowhere"})").ok());
     CHECK_FALSE(readEndpoint("i-1", "{").ok());
--- a/unittests/Platform/PlatformDialectTest.cpp
+++ b/unittests/Platform/PlatformDialectTest.cpp
@@ -38,7 +38,7 @@
         { "Expect-Instance", "i" }, { "Hold", "1" }, { "Pin-Ms", "4" }, { "Kv-Backup", "a" }, { "Kv-From", "b" }, { "Kv-Fetch", "c" }, { "Deadline-Ms", "5" },
         { "Request-Priority", "0" }, { "Catkinwing-Attempts-Left", "9" }, { "Model", "m" }, { "Length-Hint", "7" }, { "X-Other", "kept" } }));
     std::vector<std::string> names;
-    for (const HttpHeader& field : facts.forwarded.fields())
+    for (const HttpHeader& field : facts.forwardedHeaders.fields())
         names.push_back(field.name);
     CHECK(names == std::vector<std::string> { "Host", "Attempt-Id", "Model", "Length-Hint", "X-Other" });
 }
@@ -61,14 +61,14 @@
 TEST_CASE("readAnswer takes only a sealed response without content encoding for an endpoint's response")
 {
     Dialect dialect = platformDialect();
-    CHECK(dialect.readAnswer({ 200, { { "reply-seal", "x" }, { "attempt-id", "1" } } }).isEndpointAnswer);
-    CHECK_FALSE(dialect.readAnswer({ 200, { { "attempt-id", "1" } } }).isEndpointAnswer);
-    CHECK_FALSE(dialect.readAnswer({ 200, { { "reply-seal", "x" }, { "content-encoding", "gzip" } } }).isEndpointAnswer);
-    CHECK(dialect.readAnswer({ 503, { { "not-executed", "1" } } }).wasNotRun);
-    CHECK_FALSE(dialect.readAnswer({ 503, {} }).wasNotRun);
-    AnswerFacts other = dialect.readAnswer({ 421, {} });
+    CHECK(dialect.readResponse({ 200, { { "reply-seal", "x" }, { "attempt-id", "1" } } }).isEndpointAnswer);
+    CHECK_FALSE(dialect.readResponse({ 200, { { "attempt-id", "1" } } }).isEndpointAnswer);
+    CHECK_FALSE(dialect.readResponse({ 200, { { "reply-seal", "x" }, { "content-encoding", "gzip" } } }).isEndpointAnswer);
+    CHECK(dialect.readResponse({ 503, { { "not-executed", "1" } } }).wasNotExecuted);
+    CHECK_FALSE(dialect.readResponse({ 503, {} }).wasNotExecuted);
+    ResponseFacts other = dialect.readResponse({ 421, {} });
     CHECK(other.isOtherIncarnation);
-    CHECK(other.wasNotRun);
+    CHECK(other.wasNotExecuted);
 }
 
 TEST_CASE("directory queries are read and directory answers are written")
@@ -78,25 +78,25 @@
     question.method = "GET";
     question.path = "/resolve";
     question.query = "name=a.example&region=n%20rth&zone=z";
-    std::optional<DirectoryQuestion> read = dialect.readDirectoryQuestion(question);
+    std::optional<EntryDirectoryQuery> read = dialect.readDirectoryQuery(question);
     REQUIRE(read);
     CHECK(read->host == "a.example");
     CHECK(read->region == "n rth");
     CHECK(read->availabilityZone == "z");
-    CHECK(dialect.writeDirectoryAnswer({ { "10.1.0.35", 8144 } }, 1500ms) == R"({"addrs":["10.1.0.35:8144"],"ttl_s":1.5})");
+    CHECK(dialect.writeDirectoryResponse({ { "10.1.0.35", 8144 } }, 1500ms) == R"({"addrs":["10.1.0.35:8144"],"ttl_s":1.5})");
     question.path = "/other";
-    CHECK_FALSE(dialect.readDirectoryQuestion(question));
+    CHECK_FALSE(dialect.readDirectoryQuery(question));
 }
 
 TEST_CASE("readAnswer reads the leaving flag and the retry-after time")
 {
     Dialect dialect = platformDialect();
-    AnswerFacts plain = dialect.readAnswer({ 200, { { "Attempt-Id", "1" }, { "Reply-Seal", "s" } } });
+    ResponseFacts plain = dialect.readResponse({ 200, { { "Attempt-Id", "1" }, { "Reply-Seal", "s" } } });
     CHECK_FALSE(plain.isLeaving);
     CHECK_FALSE(plain.pause);
-    CHECK(dialect.readAnswer({ 200, { { "Reply-Seal", "s" }, { "server-leaving", "1" } } }).isLeaving);
-    CHECK_FALSE(dialect.readAnswer({ 200, { { "Server-Leaving", "0" } } }).isLeaving);
-    auto pauseOf = [&](int status, const char* value) { return dialect.readAnswer({ status, { { "Not-Executed", "1" }, { "Retry-After", value } } }).pause; };
+    CHECK(dialect.readResponse({ 200, { { "Reply-Seal", "s" }, { "server-leaving", "1" } } }).isLeaving);
+    CHECK_FALSE(dialect.readResponse({ 200, { { "Server-Leaving", "0" } } }).isLeaving);
+    auto pauseOf = [&](int status, const char* value) { return dialect.readResponse({ status, { { "Not-Executed", "1" }, { "Retry-After", value } } }).pause; };
     CHECK(pauseOf(503, "6") == 6s);
     CHECK(pauseOf(503, "0.25") == 250ms);
     CHECK_FALSE(pauseOf(429, "6"));
--- a/unittests/Routing/CallerSteeringTest.cpp
+++ b/unittests/Routing/CallerSteeringTest.cpp
@@ -40,7 +40,7 @@
 static std::vector<std::string> steer(const SteeringRequest& request, const std::vector<EntryView>& entries, TimePoint now = start)
 {
     std::vector<std::string> names;
-    for (std::size_t index : steerCallers(request, entries, {}, now))
+    for (std::size_t index : rankEntries(request, entries, {}, now))
         names.push_back(entries[index].name);
     return names;
 }
@@ -108,7 +108,7 @@
 TEST_CASE("an entry that has just started receives a small share of the sessions")
 {
     std::vector<EntryView> entries = makeEntries();
-    entries[1].since = start;
+    entries[1].availableSince = start;
     auto countOn = [&entries](TimePoint now) {
         int count = 0;
         for (int session = 0; session < 600; ++session)
--- a/unittests/Routing/CellViewTest.cpp
+++ b/unittests/Routing/CellViewTest.cpp
@@ -26,7 +26,7 @@
     cell.recordDispatch(handle, 10, TimePoint(1s));
     CHECK(cell.openEndpointsFor("m").empty());
     CHECK(cell.endpointsFor("n").size() == 1);
-    cell.recordSettled(handle, TimePoint(2s));
+    cell.recordRequestEnded(handle, TimePoint(2s));
     CHECK(cell.openEndpointsFor("n").size() == 1);
 }
 
@@ -46,7 +46,7 @@
 {
     std::size_t count = 0;
     for (EndpointHandle handle : cell.endpointsFor(model))
-        count += isOpen(cell.endpoint(handle)) ? 1 : 0;
+        count += acceptsRequest(cell.endpoint(handle)) ? 1 : 0;
     return count;
 }
 
@@ -79,7 +79,7 @@
         else if (action < 4)
             cell.recordDispatch(*handle, 1, TimePoint(1s));
         else
-            cell.recordSettled(*handle, TimePoint(2s));
+            cell.recordRequestEnded(*handle, TimePoint(2s));
         for (const char* model : { "m", "n" }) {
             REQUIRE(cell.openEndpointsFor(model).size() == countOpen(cell, model));
             for (EndpointHandle open : cell.openEndpointsFor(model))
--- a/unittests/Routing/EndpointChoiceTest.cpp
+++ b/unittests/Routing/EndpointChoiceTest.cpp
@@ -56,10 +56,10 @@
     std::size_t owner = *chooseEndpoint(list, demand, random);
     std::size_t holder = (owner + 1) % list.size();
     std::size_t other = (owner + 2) % list.size();
-    list[holder].holdsPart = true;
+    list[holder].cachesSegment = true;
     list[holder].wait = 300ms;
     CHECK(chooseEndpoint(list, demand, random) == holder);
-    list[other].holdsPart = true;
+    list[other].cachesSegment = true;
     list[other].wait = 100ms;
     CHECK(chooseEndpoint(list, demand, random) == other);
     list[other].isSuspect = true;
--- a/unittests/Routing/EndpointViewTest.cpp
+++ b/unittests/Routing/EndpointViewTest.cpp
@@ -55,13 +55,13 @@
     for (int i = 0; i < 6; ++i)
         recordDispatch(endpoint, 0, start);
     for (int i = 0; i < 5; ++i) {
-        recordSettled(endpoint, start + 2s);
+        recordRequestEnded(endpoint, start + 2s);
         recordDispatch(endpoint, 0, start + 2s);
     }
     // Six own requests and one of another entry, recorded two seconds late.
     recordReport(endpoint, { start + 1s, 7, 0, 0 });
     CHECK(estimatedInFlight(endpoint, {}, start + 3s) == 7);
-    recordSettled(endpoint, start + 3s);
+    recordRequestEnded(endpoint, start + 3s);
     CHECK(estimatedInFlight(endpoint, {}, start + 3s) == 6);
     CHECK(predictTimeToFirstToken(endpoint, {}, {}, start + 3s).slotWait == Duration::zero());
 }
@@ -71,7 +71,7 @@
     EndpointView endpoint;
     for (int i = 0; i < 1000; ++i) {
         recordDispatch(endpoint, 1, start + i * 100ms);
-        recordSettled(endpoint, start + i * 100ms);
+        recordRequestEnded(endpoint, start + i * 100ms);
     }
     CHECK(endpoint.requestEndTimesSinceReport.size() <= 101);
 }
@@ -97,10 +97,10 @@
 {
     EndpointView endpoint;
     endpoint.prefillTokensPerSecond = 1000;
-    learnSpeeds(endpoint, {});
+    updateSpeeds(endpoint, {});
     CHECK(endpoint.prefillTokensPerSecond == 1000);
     for (int i = 0; i < 100; ++i)
-        learnSpeeds(endpoint, { 500, 100ms, 60, 1s, 3s });
+        updateSpeeds(endpoint, { 500, 100ms, 60, 1s, 3s });
     CHECK(endpoint.prefillTokensPerSecond == Approx(5000).epsilon(0.01));
     CHECK(endpoint.decodeTokensPerSecond == Approx(60).epsilon(0.01));
     CHECK(endpoint.requestDuration > 2900ms);
--- a/unittests/Routing/ForwardingTest.cpp
+++ b/unittests/Routing/ForwardingTest.cpp
@@ -95,13 +95,13 @@
     Origin origin;
     for (int i = 0; i < 10; ++i)
         recordRouted(origin.state, origin.policy, true, start);
-    CHECK(shareSentAway(origin.state) == 1);
+    CHECK(crossRegionShare(origin.state) == 1);
     CHECK(origin.decideTarget(800ms) == "caldas-2");
     origin.cells.erase(origin.cells.begin());
     CHECK(origin.decideTarget(800ms) == "gain-too-small");
     for (int i = 0; i < 1000; ++i)
         recordRouted(origin.state, origin.policy, false, start + 5min);
-    CHECK(shareSentAway(origin.state) < 0.001);
+    CHECK(crossRegionShare(origin.state) < 0.001);
     CHECK(origin.decideTarget(800ms) == "valle-1");
 }
 
--- a/unittests/Routing/HedgingTest.cpp
+++ b/unittests/Routing/HedgingTest.cpp
@@ -10,9 +10,9 @@
     HedgeInputs inputs;
     inputs.idempotent = true;
     inputs.elapsed = 900ms;
-    inputs.learnedWait = 800ms;
+    inputs.waitQuantile = 800ms;
     inputs.budgetAvailable = true;
-    inputs.secondPrediction = 100ms;
+    inputs.secondAttemptPrediction = 100ms;
     return inputs;
 }
 
@@ -29,8 +29,8 @@
     CHECK(decide([](HedgeInputs& i) { i.delivered = true; }) == HedgeDecision::AlreadyDelivered);
     CHECK(decide([](HedgeInputs& i) { i.hedgesSoFar = 1; }) == HedgeDecision::HedgeLimitReached);
     CHECK(decide([](HedgeInputs& i) { i.elapsed = 799ms; }) == HedgeDecision::TooEarly);
-    CHECK(decide([](HedgeInputs& i) { i.learnedWait.reset(); }) == HedgeDecision::TooFewSamples);
-    CHECK(decide([](HedgeInputs& i) { i.secondPrediction.reset(); }) == HedgeDecision::NoOtherEndpoint);
+    CHECK(decide([](HedgeInputs& i) { i.waitQuantile.reset(); }) == HedgeDecision::TooFewSamples);
+    CHECK(decide([](HedgeInputs& i) { i.secondAttemptPrediction.reset(); }) == HedgeDecision::NoOtherEndpoint);
     CHECK(decide([](HedgeInputs& i) { i.timeLeft = 50ms; }) == HedgeDecision::DeadlineTooClose);
     CHECK(decide([](HedgeInputs& i) { i.budgetAvailable = false; }) == HedgeDecision::NoBudget);
     policy.enabled = false;
--- a/unittests/Routing/PlacementTest.cpp
+++ b/unittests/Routing/PlacementTest.cpp
@@ -145,7 +145,7 @@
             continue;
         }
         if (const auto* placement = std::get_if<Placement>(&result)) {
-            REQUIRE(isOpen(cell.endpoint(placement->endpoint)));
+            REQUIRE(acceptsRequest(cell.endpoint(placement->endpoint)));
             REQUIRE_FALSE(wasTried(request, cell.endpoint(placement->endpoint).name));
         }
     }
--- a/unittests/Routing/PrefixIndexTest.cpp
+++ b/unittests/Routing/PrefixIndexTest.cpp
@@ -140,7 +140,7 @@
     CHECK(tokensAt(index, 0, prompt) == 0);
     index.applyEvent(0, { "b", 1, CacheEventKind::Stored, prompt, {} });
     CHECK(tokensAt(index, 0, prompt) == Approx(40));
-    index.forget(0);
+    index.remove(0);
     CHECK(tokensAt(index, 0, prompt) == 0);
 }
 
--- a/unittests/Routing/RegionPressureTest.cpp
+++ b/unittests/Routing/RegionAcceptanceTest.cpp
@@ -1,4 +1,4 @@
-#include "catkinwing/Routing/RegionPressure.h"
+#include "catkinwing/Routing/RegionAcceptance.h"
 
 #include <catch2/catch.hpp>
 
@@ -7,24 +7,24 @@
 
 TEST_CASE("acceptance falls with refusals, and recovers with accepted requests and with time")
 {
-    RegionPressure tracker;
+    RegionAcceptance tracker;
     TimePoint now { 10s };
-    CHECK(tracker.readiness("north", now) == 1);
+    CHECK(tracker.acceptanceOf("north", now) == 1);
     for (int i = 0; i < 10; ++i)
-        tracker.noteRefused("north", now);
-    double after = tracker.readiness("north", now);
+        tracker.recordRefused("north", now);
+    double after = tracker.acceptanceOf("north", now);
     CHECK(after < 0.4);
     CHECK(after > 0);
-    tracker.noteTaken("north", now);
-    CHECK(tracker.readiness("north", now) > after);
-    CHECK(tracker.readiness("north", now + 60s) == 1);
-    CHECK(tracker.readiness("south", now) == 1);
+    tracker.recordAccepted("north", now);
+    CHECK(tracker.acceptanceOf("north", now) > after);
+    CHECK(tracker.acceptanceOf("north", now + 60s) == 1);
+    CHECK(tracker.acceptanceOf("south", now) == 1);
 }
 
 // Simulates a region that sustains about half of the requests offered to it.
 TEST_CASE("load beyond a region's capacity is forwarded, which limits the number of refusals")
 {
-    RegionPressure tracker;
+    RegionAcceptance tracker;
     Random random(5);
     std::map<std::string, std::size_t> others { { "south", 3 } };
     int kept = 0;
@@ -42,9 +42,9 @@
             kept += isAccepted ? 1 : 0;
             refused += isAccepted ? 0 : 1;
             if (isAccepted)
-                tracker.noteTaken("north", now);
+                tracker.recordAccepted("north", now);
             else
-                tracker.noteRefused("north", now);
+                tracker.recordRefused("north", now);
         }
     }
     CHECK(kept > 0);
@@ -53,12 +53,12 @@
 
 TEST_CASE("nothing is forwarded if the other regions refuse as much, or there are none")
 {
-    RegionPressure tracker;
+    RegionAcceptance tracker;
     Random random(5);
     TimePoint now { 10s };
     for (int i = 0; i < 40; ++i) {
-        tracker.noteRefused("north", now);
-        tracker.noteRefused("south", now);
+        tracker.recordRefused("north", now);
+        tracker.recordRefused("south", now);
     }
     for (int i = 0; i < 100; ++i) {
         CHECK_FALSE(shouldSpill(tracker, "north", { { "south", 3 } }, now, random));
@@ -69,11 +69,11 @@
 
 TEST_CASE("forwarded requests are distributed by number of endpoints and acceptance")
 {
-    RegionPressure tracker;
+    RegionAcceptance tracker;
     Random random(5);
     TimePoint now { 10s };
     for (int i = 0; i < 8; ++i)
-        tracker.noteRefused("south", now);
+        tracker.recordRefused("south", now);
     int south = 0;
     for (int i = 0; i < 1'000; ++i)
         south += chooseSpillRegion(tracker, { { "south", 4 }, { "west", 4 } }, now, random) == "south" ? 1 : 0;
--- a/unittests/Routing/RegionChoiceTest.cpp
+++ b/unittests/Routing/RegionChoiceTest.cpp
@@ -9,9 +9,9 @@
 static RegionDemand demandOf(std::optional<Duration> waitHere)
 {
     RegionDemand demand;
-    demand.waitHere = waitHere;
-    demand.mayAskHere = true;
-    demand.longestWait = 400ms;
+    demand.localWait = waitHere;
+    demand.mayAcceptLocally = true;
+    demand.maxWait = 400ms;
     return demand;
 }
 
@@ -19,51 +19,51 @@
 {
     Random random(1);
     for (int i = 0; i < 100; ++i)
-        CHECK(chooseRegion(demandOf(150ms), { { "south", 0ms, 0ms } }, random).verdict == RegionVerdict::Here);
+        CHECK(chooseRegion(demandOf(150ms), { { "south", 0ms, 0ms } }, random).verdict == RegionVerdict::Local);
 }
 
 TEST_CASE("a request that would wait too long here goes to a region with free capacity, or is refused if there is none")
 {
     Random random(1);
     RegionChoice away = chooseRegion(demandOf(500ms), { { "south", 100ms, 115ms }, { "west", 900ms, 115ms } }, random);
-    CHECK(away.verdict == RegionVerdict::Away);
+    CHECK(away.verdict == RegionVerdict::Forward);
     CHECK(away.region == "south");
-    CHECK(chooseRegion(demandOf(500ms), { { "south", 401ms, 0ms } }, random).verdict == RegionVerdict::Nowhere);
-    CHECK(chooseRegion(demandOf(500ms), {}, random).verdict == RegionVerdict::Nowhere);
+    CHECK(chooseRegion(demandOf(500ms), { { "south", 401ms, 0ms } }, random).verdict == RegionVerdict::Refuse);
+    CHECK(chooseRegion(demandOf(500ms), {}, random).verdict == RegionVerdict::Refuse);
 }
 
 TEST_CASE("some requests with long responses go to a region with faster engines, and those with short ones stay")
 {
     Random random(1);
     RegionDemand demand = demandOf(0ms);
-    demand.lastsHere = 6s;
+    demand.localResponseDuration = 6s;
     RegionOption faster { "south", 0ms, 115ms, 2s };
     int away = 0;
     for (int i = 0; i < 1'000; ++i)
-        away += chooseRegion(demand, { faster }, random).verdict == RegionVerdict::Away;
+        away += chooseRegion(demand, { faster }, random).verdict == RegionVerdict::Forward;
     // Some stay, so that the faster region isn't overloaded at once.
     CHECK(away > 300);
     CHECK(away < 600);
-    demand.lastsHere = 200ms;
+    demand.localResponseDuration = 200ms;
     faster.responseDuration = 150ms;
     for (int i = 0; i < 100; ++i)
-        CHECK(chooseRegion(demand, { faster }, random).verdict == RegionVerdict::Here);
+        CHECK(chooseRegion(demand, { faster }, random).verdict == RegionVerdict::Local);
 }
 
 TEST_CASE("network delay to a region with free capacity doesn't cause a refusal")
 {
     Random random(1);
-    CHECK(chooseRegion(demandOf(500ms), { { "south", 0ms, 2s } }, random).verdict == RegionVerdict::Away);
+    CHECK(chooseRegion(demandOf(500ms), { { "south", 0ms, 2s } }, random).verdict == RegionVerdict::Forward);
     RegionDemand elsewhere = demandOf(std::nullopt);
-    elsewhere.mayAskHere = false;
-    CHECK(chooseRegion(elsewhere, { { "south", 0ms, 2s } }, random).verdict == RegionVerdict::Away);
+    elsewhere.mayAcceptLocally = false;
+    CHECK(chooseRegion(elsewhere, { { "south", 0ms, 2s } }, random).verdict == RegionVerdict::Forward);
 }
 
 TEST_CASE("regions with unknown waits are queried before a request is refused")
 {
     Random random(1);
-    CHECK(chooseRegion(demandOf(500ms), { { "south", std::nullopt, 115ms } }, random).verdict == RegionVerdict::Ask);
-    CHECK(chooseRegion(demandOf(std::nullopt), { { "south", 900ms, 115ms } }, random).verdict == RegionVerdict::Ask);
+    CHECK(chooseRegion(demandOf(500ms), { { "south", std::nullopt, 115ms } }, random).verdict == RegionVerdict::Query);
+    CHECK(chooseRegion(demandOf(std::nullopt), { { "south", 900ms, 115ms } }, random).verdict == RegionVerdict::Query);
 }
 
 /// Simulates regions of four engines each, whose load other regions know only from
@@ -103,19 +103,19 @@
         if (random.unit() >= 0.4)
             continue;
         RegionDemand demand;
-        demand.waitHere = simulation.waitOf(simulation.kilotokens[0]);
-        demand.longestWait = maxWait;
+        demand.localWait = simulation.waitOf(simulation.kilotokens[0]);
+        demand.maxWait = maxWait;
         std::vector<RegionOption> others;
         for (std::size_t region : { 1, 2 })
             others.push_back({ Regions::names[region], simulation.waitOf(simulation.reported[region]), 115ms });
         RegionChoice choice = chooseRegion(demand, others, random);
         ++sent;
-        if (choice.verdict == RegionVerdict::Nowhere) {
+        if (choice.verdict == RegionVerdict::Refuse) {
             ++refused;
             continue;
         }
-        std::size_t region = choice.verdict == RegionVerdict::Here ? 0 : choice.region == "south" ? 1
-                                                                                                  : 2;
+        std::size_t region = choice.verdict == RegionVerdict::Local ? 0 : choice.region == "south" ? 1
+                                                                                                   : 2;
         late += simulation.waitOf(simulation.kilotokens[region]) > maxWait + 200ms;
         simulation.kilotokens[region] += 1;
         maxElsewhere = std::max({ maxElsewhere, simulation.kilotokens[1], simulation.kilotokens[2] });
--- a/unittests/Routing/AnswerTimesTest.cpp
+++ b/unittests/Routing/ResponseTimesTest.cpp
@@ -1,4 +1,4 @@
-#include "catkinwing/Routing/AnswerTimes.h"
+#include "catkinwing/Routing/ResponseTimes.h"
 
 #include "catkinwing/Support/Random.h"
 #include <catch2/catch.hpp>
@@ -15,28 +15,28 @@
 static const TimePoint start { 100s };
 
 /// Returns the estimate from \p times with the default prior.
-static AnswerEstimate estimateOf(const AnswerTimes& times, TimePoint now = start)
+static ResponseEstimate estimateOf(const ResponseTimes& times, TimePoint now = start)
 {
-    return estimateAnswers(times, usualAnswers(), now);
+    return estimateResponses(times, defaultResponseEstimate(), now);
 }
 
 /// Records responses of an engine that sends the first byte after \p floor plus
 /// \p perKilotoken per thousand tokens, with up to 20% random deviation.
-static void recordResponses(AnswerTimes& times, Duration floor, Duration perKilotoken, int responses, Random& random)
+static void recordResponses(ResponseTimes& times, Duration floor, Duration perKilotoken, int responses, Random& random)
 {
     for (int i = 0; i < responses; ++i) {
         // One request in ten has no tokens to prefill.
         double kilotokens = i % 10 == 0 ? 0 : random.unit() * 30;
         double deviation = 0.8 + 0.4 * random.unit();
         auto took = std::chrono::duration_cast<Duration>((floor + perKilotoken * kilotokens) * deviation);
-        learnFirstByte(times, kilotokens, took, start);
+        addFirstByteSample(times, kilotokens, took, start);
     }
 }
 
 TEST_CASE("a hundred responses are enough to estimate an engine's response times")
 {
     Random random(4);
-    AnswerTimes times;
+    ResponseTimes times;
     recordResponses(times, 60ms, 40ms, 100, random);
     CHECK(milliseconds(idleFirstByte(estimateOf(times))) == Approx(60).margin(30));
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) == Approx(40).epsilon(0.2));
@@ -45,7 +45,7 @@
 TEST_CASE("the estimate follows an engine that slows down within a hundred responses")
 {
     Random random(4);
-    AnswerTimes times;
+    ResponseTimes times;
     recordResponses(times, 100ms, 15ms, 300, random);
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) == Approx(15).epsilon(0.2));
     recordResponses(times, 100ms, 60ms, 100, random);
@@ -54,20 +54,20 @@
 
 TEST_CASE("responses without prompt tokens to prefill leave the prefill estimate almost unchanged")
 {
-    AnswerTimes times;
+    ResponseTimes times;
     Duration before = timePerKilotoken(estimateOf(times));
     for (int i = 0; i < 1'000; ++i)
-        learnFirstByte(times, 0, 15ms, start);
+        addFirstByteSample(times, 0, 15ms, start);
     CHECK(milliseconds(idleFirstByte(estimateOf(times))) == Approx(15).margin(5));
     CHECK(milliseconds(timePerKilotoken(estimateOf(times))) == Approx(milliseconds(before)).epsilon(0.4));
 }
 
 TEST_CASE("outliers don't push the estimates beyond their bounds")
 {
-    AnswerTimes times;
+    ResponseTimes times;
     for (int i = 0; i < 50; ++i)
-        learnFirstByte(times, i % 2 == 0 ? 30 : 0, i % 2 == 0 ? 0ms : 100s, start);
-    AnswerEstimate estimate = estimateOf(times);
+        addFirstByteSample(times, i % 2 == 0 ? 30 : 0, i % 2 == 0 ? 0ms : 100s, start);
+    ResponseEstimate estimate = estimateOf(times);
     CHECK(timePerKilotoken(estimate) > 0ms);
     CHECK(idleFirstByte(estimate) > 0ms);
     CHECK(idleFirstByte(estimate) <= 6s);
@@ -75,12 +75,12 @@
 
 TEST_CASE("the time per event is estimated from streams, and an interrupted stream has little effect on it")
 {
-    AnswerTimes times;
+    ResponseTimes times;
     for (int i = 0; i < 1'000; ++i)
-        learnEvents(times, 2, 160ms, start);
+        addEventSample(times, 2, 160ms, start);
     CHECK(milliseconds(timePerEvent(estimateOf(times))) == Approx(80).epsilon(0.25));
-    learnEvents(times, 0, 10s, start);
-    learnEvents(times, 1, 10s, start);
+    addEventSample(times, 0, 10s, start);
+    addEventSample(times, 1, 10s, start);
     CHECK(milliseconds(timePerEvent(estimateOf(times))) < 100);
 }
 
@@ -88,16 +88,16 @@
 // responses.
 TEST_CASE("an endpoint with few responses and no work has no predicted wait")
 {
-    AnswerTimes times;
+    ResponseTimes times;
     for (int i = 0; i < 5; ++i) {
         CHECK(predictWait(estimateOf(times), { 0, 0 }, 8) == 0ms);
-        learnFirstByte(times, 0, 2ms, start);
+        addFirstByteSample(times, 0, 2ms, start);
     }
 }
 
 TEST_CASE("the predicted wait covers queued prompt tokens and, without a free slot, the end of running requests")
 {
-    AnswerEstimate estimate = usualAnswers();
+    ResponseEstimate estimate = defaultResponseEstimate();
     CHECK(predictWait(estimate, { 0, 0 }, 8) == 0ms);
     CHECK(predictWait(estimate, { 7, 0 }, 8) == 0ms);
     CHECK(milliseconds(predictWait(estimate, { 0, 10 }, 8)) == Approx(10 * milliseconds(timePerKilotoken(estimate))));
@@ -113,30 +113,30 @@
 // in a tenth of that time.
 TEST_CASE("estimates of endpoints with few responses follow their service within seconds")
 {
-    AnswerTimes service;
-    std::vector<AnswerTimes> endpoints(12);
+    ResponseTimes service;
+    std::vector<ResponseTimes> endpoints(12);
     TimePoint now = start;
     for (int i = 0; i < 30; ++i) {
         now += 333ms;
-        learnHeld(service, 70ms, now);
-        learnHeld(endpoints[static_cast<std::size_t>(i) % endpoints.size()], 70ms, now);
+        addSlotTimeSample(service, 70ms, now);
+        addSlotTimeSample(endpoints[static_cast<std::size_t>(i) % endpoints.size()], 70ms, now);
     }
-    AnswerEstimate common = estimateAnswers(service, usualAnswers(), now);
-    for (const AnswerTimes& endpoint : endpoints) {
-        CHECK(estimateAnswers(endpoint, common, now).heldSeconds < 0.2);
-        CHECK(estimateAnswers(endpoint, usualAnswers(), now).heldSeconds > 0.3);
+    ResponseEstimate common = estimateResponses(service, defaultResponseEstimate(), now);
+    for (const ResponseTimes& endpoint : endpoints) {
+        CHECK(estimateResponses(endpoint, common, now).slotSeconds < 0.2);
+        CHECK(estimateResponses(endpoint, defaultResponseEstimate(), now).slotSeconds > 0.3);
     }
 }
 
 TEST_CASE("a few responses distinguish a slow endpoint from its service, and their effect decays")
 {
-    AnswerTimes service;
+    ResponseTimes service;
     for (int i = 0; i < 50; ++i)
-        learnHeld(service, 100ms, start);
-    AnswerTimes slow;
+        addSlotTimeSample(service, 100ms, start);
+    ResponseTimes slow;
     for (int i = 0; i < 12; ++i)
-        learnHeld(slow, 500ms, start);
-    AnswerEstimate common = estimateOf(service);
-    CHECK(estimateAnswers(slow, common, start).heldSeconds > 0.3);
-    CHECK(estimateAnswers(slow, common, start + 60s).heldSeconds < 0.2);
+        addSlotTimeSample(slow, 500ms, start);
+    ResponseEstimate common = estimateOf(service);
+    CHECK(estimateResponses(slow, common, start).slotSeconds > 0.3);
+    CHECK(estimateResponses(slow, common, start + 60s).slotSeconds < 0.2);
 }
--- a/unittests/Routing/StreamLengthTest.cpp
+++ b/unittests/Routing/StreamLengthTest.cpp
@@ -8,7 +8,7 @@
 {
     StreamLength length;
     for (int i = 0; i < 100; ++i)
-        learnEvents(length, 100 + i, static_cast<std::size_t>((100 + i) / 5));
+        addEventSample(length, 100 + i, static_cast<std::size_t>((100 + i) / 5));
     CHECK(predictEvents(length, 1'000) == Approx(200).epsilon(0.02));
     CHECK(predictEvents(length, 50) == Approx(10).epsilon(0.02));
 }
@@ -18,6 +18,6 @@
     StreamLength length;
     CHECK(predictEvents(length, 0) > 1);
     for (int i = 0; i < 500; ++i)
-        learnEvents(length, 0, 70);
+        addEventSample(length, 0, 70);
     CHECK(predictEvents(length, 0) == Approx(70).epsilon(0.01));
 }
