--- a/include/catkinwing/Membership/CrashingRequests.h
+++ b/include/catkinwing/Membership/CrashingRequests.h
@@ -16,8 +16,8 @@
 /// answered, whereas an answer to the latter shows that its crashes have another cause.
 class CrashingRequests {
 public:
-    /// \p seed differs between entries, and so do the times at which they accept a
-    /// refused request again.
+    /// \p seed must differ between entries, so that they accept a refused request again at
+    /// different times.
     explicit CrashingRequests(std::uint64_t seed = 0)
         : m_seed(seed)
     {
@@ -47,7 +47,7 @@
         std::vector<std::uint32_t> notifiableRegions {};
     };
     /// Returns the latest crash that the request may have caused, or none if the request
-    /// needn't wait.
+    /// may be sent without waiting for its turn.
     std::optional<RecentCrash> crashToAwait(const RequestFingerprint& request, TimePoint now) const;
     /// Returns when this entry may send the request. Entries take turns in \p order, so
     /// that only one attempt of the same request runs at a time until it is known whether
@@ -65,7 +65,8 @@
     /// since the last call. Other entries may receive the same request before the crash is
     /// settled.
     std::vector<CrashNotice> takeUrgent(TimePoint now);
-    /// Sets the callback for the first notice that takeUrgent() has to return.
+    /// Sets the callback that is called when the first notice since the last call of
+    /// takeUrgentNotices() is queued. Without a callback, no urgent notices are kept.
     void onUrgent(std::function<void()> callback) { m_onUrgent = std::move(callback); }
     /// Returns crashes settled since the last call, for the entries that count crashes.
     std::vector<CrashNotice> takeSettled() { return std::exchange(m_settled, {}); }
@@ -137,7 +138,8 @@
     /// Time of this entry's latest attempt of each request that is sent in turns after a
     /// crash; see nextTurn().
     absl::flat_hash_map<RequestFingerprint, TimePoint, RequestFingerprintHash> m_tried;
-    /// The refused request that crashed each endpoint.
+    /// The refused request that crashed each endpoint, by the hash of the endpoint's
+    /// incarnation.
     absl::flat_hash_map<std::uint32_t, RequestFingerprint> m_causes;
     std::vector<CrashNotice> m_settled;
     std::vector<UrgentNotice> m_urgent;
--- a/include/catkinwing/Membership/EntryGroups.h
+++ b/include/catkinwing/Membership/EntryGroups.h
@@ -17,8 +17,8 @@
 struct EntryGroup {
     std::string name;
     std::vector<std::string> members;
-    /// Members that sum up the load reports of the group. Several do so, so that the
-    /// failure of one loses no data.
+    /// Members that sum up the load reports of the group. There are several, so that no
+    /// data is lost if one fails.
     std::vector<std::string> collectors;
 };
 
--- a/include/catkinwing/Membership/Membership.h
+++ b/include/catkinwing/Membership/Membership.h
@@ -25,7 +25,7 @@
     /// A peer announced that an endpoint is leaving; reported once for each run of
     /// the endpoint.
     std::function<void(const EndpointLeaving&)> onEndpointLeaving;
-    /// Another entry or zone reported newly served tokens.
+    /// Another entry or zone reported tokens served since its previous report.
     std::function<void(const ServedElsewhere&)> onServedElsewhere;
     /// A later run with this entry's name is live; this process must stop serving.
     std::function<void()> onSuperseded;
--- a/include/catkinwing/Membership/MembershipOptions.h
+++ b/include/catkinwing/Membership/MembershipOptions.h
@@ -30,8 +30,8 @@
     std::uint32_t unusableAfterFailures { 2 };
     /// Delay before a failed exchange or announcement is retried.
     Duration retryInterval { std::chrono::milliseconds(500) };
-    /// Time for which a leaving endpoint is announced separately; after that only
-    /// heartbeats carry it.
+    /// Time for which a leaving endpoint is announced in messages of its own; afterwards
+    /// only heartbeats contain it.
     Duration announceFor { std::chrono::seconds(30) };
     /// Minimum interval between two lists of contacts sent to the same peer.
     Duration contactsInterval { std::chrono::seconds(3) };
--- a/include/catkinwing/Membership/ShareDivision.h
+++ b/include/catkinwing/Membership/ShareDivision.h
@@ -21,11 +21,11 @@
     double burst { 0 };
 };
 
-/// Divides the rate that \p subject can sustain among \p entries, and returns the share
-/// of \p self. Each share allows at least one request at a time, so the rate limits the
-/// number of entries that get one. They are chosen by rendezvous hash, so that all
-/// entries with the same list agree without communication. An entry that isn't in the
-/// list gets no share.
+/// Divides \p rate, the limit for requests to \p subject, among \p entries, and returns
+/// the share of \p self. Each share allows one request beyond its part of the rate, so
+/// only a limited number of entries get a share. These entries are chosen by rendezvous
+/// hash, so that all entries with the same list agree without communication. An entry
+/// that isn't in the list gets no share.
 RateShare divideRate(const std::vector<std::string>& entries, absl::string_view self, absl::string_view subject, const SharedRate& rate);
 
 /// Returns the entry of \p entries that performs \p duty for all of them, such as
--- a/lib/Membership/CrashHistory.cpp
+++ b/lib/Membership/CrashHistory.cpp
@@ -26,8 +26,8 @@
 static constexpr std::chrono::seconds survivalRetention { 10 };
 
 /// Each transfer between entries shifts a reported time by up to some hundred
-/// milliseconds. Smaller differences than this don't count as a change unless they clear
-/// a crash.
+/// milliseconds. A reported answer that is later than the known one by at most this time
+/// doesn't count as a change, unless a known crash is older than the reported answer.
 static constexpr std::chrono::seconds propagationError { 1 };
 
 static Duration refusalTime(unsigned refusals)
@@ -91,8 +91,9 @@
     return true;
 }
 
-// The survival is merged first, since it removes older crashes; then the refusal, so
-// that the crash that caused it doesn't start another refusal period.
+// The time of the last answer is merged first, since an answer removes older crashes. The
+// refusal periods are merged before the crashes, so that a crash that caused a refusal
+// period doesn't start another one.
 bool mergeHistory(CrashHistory& history, const CrashHistory& other)
 {
     bool clearsCrash = !history.crashes.empty() && history.crashes.front().at < other.survivedAt;
--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -17,15 +17,15 @@
 /// a request is sent only during the first \c turnStartWindow of it.
 static constexpr milliseconds turnLength { 250 };
 static constexpr milliseconds turnStartWindow { 80 };
-/// A request no longer waits after this time without a further crash.
+/// Time after its latest crash during which a request is sent only in turns.
 static constexpr milliseconds waitAfterCrash { 2'000 };
 /// Retention of broken connections that other entries reported. Within this time the
 /// other entry has settled them and sent the result.
 static constexpr milliseconds reportedPendingRetention { 2'000 };
 /// Data received within this time after a connection broke may have been sent before.
 static constexpr milliseconds bytesInFlight { 50 };
-/// Maximum number of pending broken connections: all the connections of an entry to a
-/// few endpoints.
+/// Maximum number of pending broken connections; enough for all the connections of an
+/// entry to a few endpoints.
 static constexpr std::size_t maxPending = 1'024;
 /// Maximum number of broken connections and answers returned by one takeUrgent().
 static constexpr std::size_t maxUrgent = 16;
@@ -223,7 +223,8 @@
     return cause != m_causes.end() && cause->second != request;
 }
 
-// Requests that ran on the endpoints that a refused request crashed are not the cause.
+// Attributes the crashes to the refused request, and removes them from the histories of
+// other requests that ran on the same endpoints and are not refused themselves.
 void CrashingRequests::attributeCrashes(const RequestFingerprint& request, const CrashHistory& history)
 {
     for (const EndpointCrash& crash : history.crashes) {
@@ -326,9 +327,10 @@
     });
 }
 
-// An answer since the break shows that the request caused no crash. An earlier one shows
-// that the request is most likely not the cause. Answers that passed through this entry
-// are reported, so that other entries needn't wait either.
+// An answer after the connection broke shows that the request did not crash the endpoint,
+// so the connection is not recorded. An earlier answer makes it unlikely. In both cases an
+// answer that passed through this entry is reported, so that other entries don't delay the
+// request until the crash is settled.
 void CrashingRequests::recordReportedConnection(const CrashNotice& notice, const ToldCrash& crash, TimePoint now)
 {
     TimePoint at = now - crash.age;
--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -6,8 +6,8 @@
 
 // Digest intervals without a digest after which the standby relay starts exchanging.
 static constexpr int standbyIntervals = 2;
-// Maximum number of teams in a digest that is forwarded to a member. A member that
-// joins gets at most this many of the totals that changed earlier.
+// Maximum number of teams in a digest that is forwarded to a member. A member that joins
+// receives at most this many of the existing totals; the others follow when they change.
 static constexpr std::size_t maxRelayedTeams = 16;
 
 std::vector<ZoneEntry> Membership::Impl::ownEntries() const
@@ -224,9 +224,9 @@
         return madeAt > zone.madeAt;
     if (digest.sequence > zone.digest->sequence)
         return true;
-    // A restarted relay starts its sequence numbers again, so a digest that is newer
-    // by a margin is accepted. Ages alone don't decide, since they don't include the
-    // time on the network.
+    // A restarted relay starts its sequence numbers again, so a digest with a lower
+    // number is accepted if it was created later by a margin. The margin is needed
+    // because the age of a digest doesn't include its time on the network.
     return madeAt > zone.madeAt + m_options.digestRetryInterval;
 }
 
@@ -235,7 +235,7 @@
     TimePoint madeAt = now() - digest.age;
     if (isNewer(zone, digest, madeAt))
         replaceDigest(zone, digest, madeAt, isDirect);
-    // Entries may arrive later than the digest to which they belong.
+    // The entries of a zone may arrive in a later message than the digest with their hash.
     bool isCurrent = zone.digest && zone.digest->rosterDigest == digest.rosterDigest && zone.rosterDigest != digest.rosterDigest;
     if (!isCurrent || !digest.entries || rosterDigestOf(*digest.entries) != digest.rosterDigest)
         return;
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -85,9 +85,11 @@
         return;
     }
     receiveReply(replies->front());
-    // The reply may come from another run at this address, or may be an error.
+    // receiveReply() may have replaced the member, so it is looked up again.
     member = m_members.find(ref);
     const auto* heartbeat = std::get_if<Heartbeat>(&replies->front());
+    // The exchange has failed if the reply is an error or comes from another run at this
+    // address.
     if (!member || !heartbeat || heartbeat->sender.ref != ref) {
         const auto* error = std::get_if<PeerError>(&replies->front());
         if (member && error && error->code == PeerErrorCode::UnknownRun)
@@ -155,8 +157,8 @@
         return;
     if (error.code == PeerErrorCode::LowIncarnation)
         raiseIncarnation(*error.known);
-    // A run that no member has accepted yet keeps trying instead, because the run
-    // with the higher incarnation may be an earlier one whose death is not detected
+    // A run that no member has accepted yet doesn't stop but keeps trying, because the
+    // run with the higher incarnation may be an earlier one whose death is not detected
     // yet.
     if (error.code == PeerErrorCode::OldIncarnation && m_isAccepted)
         supersede();
--- a/lib/Membership/MemberTable.cpp
+++ b/lib/Membership/MemberTable.cpp
@@ -61,8 +61,8 @@
 
 std::uint32_t MemberTable::digest(const EntryRef& self) const
 {
-    // The hash is a sum, so that it doesn't depend on the order of the entries: this entry
-    // isn't in its own table, but in those of the others.
+    // A sum doesn't depend on the order in which the entries are added. The order differs
+    // between entries, because an entry isn't in its own table and is added first.
     std::uint64_t sum = hashOf(self);
     for (const auto& [name, member] : m_members) {
         if (member.state != MemberState::Dead)
--- a/lib/Membership/MemberTable.h
+++ b/lib/Membership/MemberTable.h
@@ -17,7 +17,8 @@
     /// with the member then stop until a heartbeat of it is received.
     bool isAddressReused { false };
 
-    /// Time of the latest message received, or of the start of waiting for one.
+    /// Time at which the latest message was received, or at which the wait for one began
+    /// if that is later.
     TimePoint heardAt {};
     std::uint64_t heardSequence { 0 };
     /// Time at which the latest message that the member acknowledged was sent.
--- a/lib/Membership/PeerChannel.h
+++ b/lib/Membership/PeerChannel.h
@@ -16,7 +16,7 @@
 /// Counters by name.
 using CountTable = absl::flat_hash_map<std::string, std::uint64_t>;
 
-/// The largest of some changes.
+/// The largest changes among some counters.
 struct TopChanges {
     std::vector<NamedCount> items;
     /// True if smaller changes were left out.
@@ -50,13 +50,13 @@
     /// Records the content of a sent message.
     void record(SentContent content);
     /// Records that the member has received the message \p sequence. Returns the time at
-    /// which the message was sent, or none if it isn't among the latest ones.
+    /// which the message was sent, or none if no record of the message is kept.
     std::optional<TimePoint> acknowledge(std::uint64_t sequence);
 
     /// Returns whether the member has acknowledged anything.
     bool isKnown() const { return m_isKnown; }
-    /// Returns whether the member has exactly these hashes, whichever of the unacknowledged
-    /// messages have arrived.
+    /// Returns whether the acknowledged hashes and those of all unacknowledged messages
+    /// equal \p hashes. Then the member has these hashes, whichever messages arrived.
     bool hasOnly(const StateHashes& hashes) const;
     const CountTable& served() const { return m_served; }
     const CountTable& load() const { return m_load; }
--- a/lib/Membership/ServedTracker.h
+++ b/lib/Membership/ServedTracker.h
@@ -7,9 +7,9 @@
 /// Converts the running totals of one source into increments.
 class ServedTracker {
 public:
-    /// Returns the tokens since the last total of the team. The first total of a team
-    /// counts only after noteComplete(). A total that decreased gives zero, since the
-    /// source has restarted.
+    /// Returns the tokens since the last total of the team. For the first total of a team,
+    /// returns zero before noteComplete() and the whole total afterwards. Returns zero for
+    /// a total that decreased, since the source has restarted.
     std::uint64_t increment(const TeamTokens& total);
     /// Records that the source has reported the totals of all its teams.
     void noteComplete() { m_isComplete = true; }
--- a/lib/Membership/ShareDivision.cpp
+++ b/lib/Membership/ShareDivision.cpp
@@ -11,7 +11,9 @@
 
 RateShare divideRate(const std::vector<std::string>& entries, absl::string_view self, absl::string_view subject, const SharedRate& rate)
 {
-    // Within any second each holder sends at most its share of the rate plus one request.
+    // Within any second, each entry with a share sends at most its part of the rate plus
+    // one request. The number of such entries is therefore limited to the number of
+    // requests allowed above the rate.
     double burstAllowance = (rate.perSecond * (rate.ratio - 1) + rate.slack) * distributedFraction;
     auto holders = static_cast<std::size_t>(std::max(burstAllowance, 1.0));
     std::uint64_t ownScore = stableHash(self, stableHash(subject));
--- a/lib/Membership/ZoneTable.h
+++ b/lib/Membership/ZoneTable.h
@@ -32,34 +32,38 @@
     /// zones; zero for none.
     std::uint64_t version { 0 };
     ServedTracker served;
-    /// Latest totals from the zone's relay by team, with the digest version of each.
+    /// Latest totals of served tokens by team, as reported by the zone's relay, with the
+    /// version of the digest that contained each.
     std::map<std::string, VersionedTotal> totals;
     bool wasReachable { false };
 
-    /// Hash of this entry's zone's entries as known to the other zone.
+    /// Hash of the entries of this entry's own zone that the other zone last reported to
+    /// know.
     std::uint32_t peerKnownRoster { 0 };
     std::uint32_t peerZonesDigest { 0 };
     std::optional<TimePoint> contactsSentAt;
     /// Served tokens by team in the digests sent to the zone, so that the next digest
     /// contains only changes. Cleared after a failed exchange.
     CountTable sentServedTokens;
-    /// Hash of this entry's zone's entries in the last digest sent.
+    /// Hash of the entries of this entry's own zone in the last digest sent.
     std::uint32_t sentRoster { 0 };
 
     bool isExchanging { false };
     std::uint32_t failures { 0 };
     TimePoint nextExchange {};
     TimePoint lastExchange {};
-    /// Time since which a digest is awaited while none is present.
+    /// Start of the wait for a digest; used by age() while there is none.
     TimePoint waitingSince {};
     std::optional<TimePoint> configReportedAt;
 
-    /// Returns the time since the digest was created, or since one is awaited.
+    /// Returns the time since the latest digest was created or, without a digest, since
+    /// the wait for one began.
     Duration age(TimePoint now) const { return now - (digest ? madeAt : waitingSince); }
     /// Adds an address to the contacts; evicts the oldest if there are too many.
     void addContact(const SocketAddress& address);
-    /// Returns the address for the next exchange: the entries by rank, then the
-    /// contacts, advanced by one for each failure. None if no address is known.
+    /// Returns the address for the next exchange, or none if no address is known. The
+    /// candidates are the entries in relay order, followed by the contacts; each failed
+    /// exchange advances to the next candidate.
     std::optional<SocketAddress> target(const std::string& zone, const std::string& ownZone) const;
 };
 
--- a/unittests/Membership/MembershipTest.cpp
+++ b/unittests/Membership/MembershipTest.cpp
@@ -76,8 +76,8 @@
     std::vector<FakeNode*> nodes = startZone(network, 9);
     REQUIRE(network.advanceUntil(10s, [&] { return allMembersUsable(nodes); }));
     network.advance(10s);
-    // The entry with the lowest name starts the exchanges, so its termination is
-    // detected latest.
+    // The entry with the lowest name starts the exchanges with all others, so its
+    // termination is detected later than that of any other entry.
     network.kill(*nodes[0]);
     nodes.erase(nodes.begin());
     const TimePoint killedAt = network.scheduler().clock().now();
@@ -290,8 +290,8 @@
         REQUIRE(nodes[i]->leaving.size() == 1);
         CHECK(nodes[i]->leaving[0] == EndpointLeaving { "replica-7", "run-1" });
     }
-    // The other members pass the announcement around the cut, and each entry reports
-    // it once.
+    // The other members forward the announcement to the entry that could not receive it
+    // directly, and each entry reports the announcement once.
     network.advance(4s);
     CHECK(nodes[5]->leaving.size() == 1);
     CHECK(nodes[1]->leaving.size() == 1);
