--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -53,7 +53,7 @@
     return std::max(std::chrono::duration_cast<milliseconds>(now - at), milliseconds(0));
 }
 
-static ToldCrash makeToldCrash(const EndpointCrash& crash, bool isSettled, TimePoint now)
+static ToldCrash makeReportedCrash(const EndpointCrash& crash, bool isSettled, TimePoint now)
 {
     return { crash.endpoint, ageOf(crash.at, now), std::chrono::duration_cast<milliseconds>(crash.ranFor), isSettled };
 }
@@ -89,7 +89,7 @@
         if (item.isAnswered)
             notice.survivedAgo = ageOf(item.broken.at, now);
         else
-            notice.crashes.push_back(makeToldCrash({ item.broken.endpoint, item.broken.at, item.broken.ranFor }, false, now));
+            notice.crashes.push_back(makeReportedCrash({ item.broken.endpoint, item.broken.at, item.broken.ranFor }, false, now));
         notice.regions = std::move(item.broken.notifiableRegions);
         notices.push_back(std::move(notice));
     }
@@ -288,7 +288,7 @@
         return;
     CrashNotice notice;
     notice.request = broken.request;
-    notice.crashes.push_back(makeToldCrash(crash, true, now));
+    notice.crashes.push_back(makeReportedCrash(crash, true, now));
     if (known.history.survivedAt != TimePoint {})
         notice.survivedAgo = ageOf(known.history.survivedAt, now);
     notice.regions = broken.notifiableRegions;
@@ -380,7 +380,7 @@
     notice.request = request;
     std::size_t first = history.crashes.size() - std::min(history.crashes.size(), mostToldCrashes);
     for (std::size_t i = first; i < history.crashes.size(); ++i)
-        notice.crashes.push_back(makeToldCrash(history.crashes[i], true, now));
+        notice.crashes.push_back(makeReportedCrash(history.crashes[i], true, now));
     if (history.survivedAt != TimePoint {})
         notice.survivedAgo = ageOf(history.survivedAt, now);
     notice.refusedFor = ageOf(now, history.refusedUntil);
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -197,8 +197,8 @@
         heartbeat.load.push_back({ load.name, static_cast<std::uint32_t>(load.count) });
     TopChanges served = topChanges(m_served, member.channel.served(), m_options.maxTeamsPerHeartbeat);
     heartbeat.hasMoreServed = served.hasMore;
-    content.served = std::move(served.items);
-    for (const NamedCount& team : content.served)
+    content.servedTokens = std::move(served.items);
+    for (const NamedCount& team : content.servedTokens)
         heartbeat.served.push_back({ team.name, team.count });
     for (const auto& [endpoint, state] : m_leaving) {
         if (content.leaving.size() < leavingPerHeartbeat && !member.channel.knowsLeaving(endpoint))
--- a/lib/Membership/PeerChannel.cpp
+++ b/lib/Membership/PeerChannel.cpp
@@ -85,7 +85,7 @@
         return std::nullopt;
     m_isKnown = true;
     m_hashes = found->hashes;
-    applyAcknowledged(found->served, m_served);
+    applyAcknowledged(found->servedTokens, m_served);
     applyAcknowledged(found->load, m_load);
     applyAcknowledged(found->digests, m_digests);
     applyAcknowledged(found->rosters, m_rosters);
--- a/lib/Membership/PeerChannel.h
+++ b/lib/Membership/PeerChannel.h
@@ -32,7 +32,7 @@
     std::uint64_t sequence { 0 };
     TimePoint sentAt {};
     StateHashes hashes;
-    std::vector<NamedCount> served;
+    std::vector<NamedCount> servedTokens;
     std::vector<NamedCount> load;
     std::vector<EndpointLeaving> leaving;
     /// Zones and the versions of their digests.
--- a/unittests/Membership/PeerChannelTest.cpp
+++ b/unittests/Membership/PeerChannelTest.cpp
@@ -11,7 +11,7 @@
     SentContent content;
     content.sequence = sequence;
     content.sentAt = TimePoint(sequence * 1s);
-    content.served = std::move(served);
+    content.servedTokens = std::move(served);
     return content;
 }
 
