--- a/lib/Membership/CrashingRequests.cpp
+++ b/lib/Membership/CrashingRequests.cpp
@@ -17,15 +17,15 @@
 /// a request is sent only during the first \c turnStartWindow of it.
 static constexpr milliseconds turnLength { 250 };
 static constexpr milliseconds turnStartWindow { 80 };
-/// A request no longer waits after this time without a further crash.
+/// Time after its latest crash during which a request is sent only in turns.
 static constexpr milliseconds waitAfterCrash { 2'000 };
 /// Retention of broken connections that other entries reported. Within this time the
 /// other entry has settled them and sent the result.
 static constexpr milliseconds reportedPendingRetention { 2'000 };
 /// Data received within this time after a connection broke may have been sent before.
 static constexpr milliseconds bytesInFlight { 50 };
-/// Maximum number of pending broken connections: all the connections of an entry to a
-/// few endpoints.
+/// Maximum number of pending broken connections; enough for all the connections of an
+/// entry to a few endpoints.
 static constexpr std::size_t maxPending = 1'024;
 /// Maximum number of broken connections and answers returned by one takeUrgentNotices().
 static constexpr std::size_t maxUrgent = 16;
@@ -53,7 +53,7 @@
     return std::max(std::chrono::duration_cast<milliseconds>(now - at), milliseconds(0));
 }
 
-static ToldCrash makeToldCrash(const EndpointCrash& crash, bool isSettled, TimePoint now)
+static ToldCrash makeReportedCrash(const EndpointCrash& crash, bool isSettled, TimePoint now)
 {
     return { crash.endpoint, ageOf(crash.at, now), std::chrono::duration_cast<milliseconds>(crash.ranFor), isSettled };
 }
@@ -89,7 +89,7 @@
         if (item.isAnswered)
             notice.survivedAgo = ageOf(item.broken.at, now);
         else
-            notice.crashes.push_back(makeToldCrash({ item.broken.endpoint, item.broken.at, item.broken.ranFor }, false, now));
+            notice.crashes.push_back(makeReportedCrash({ item.broken.endpoint, item.broken.at, item.broken.ranFor }, false, now));
         notice.regions = std::move(item.broken.notifiableRegions);
         notices.push_back(std::move(notice));
     }
@@ -223,7 +223,8 @@
     return cause != m_causes.end() && cause->second != request;
 }
 
-// Requests that ran on the endpoints that a refused request crashed are not the cause.
+// Attributes the crashes to the refused request, and removes them from the histories of
+// other requests that ran on the same endpoints and are not refused themselves.
 void CrashingRequests::attributeCrashes(const RequestFingerprint& request, const CrashHistory& history)
 {
     for (const EndpointCrash& crash : history.crashes) {
@@ -287,7 +288,7 @@
         return;
     CrashNotice notice;
     notice.request = broken.request;
-    notice.crashes.push_back(makeToldCrash(crash, true, now));
+    notice.crashes.push_back(makeReportedCrash(crash, true, now));
     if (known.history.survivedAt != TimePoint {})
         notice.survivedAgo = ageOf(known.history.survivedAt, now);
     notice.regions = broken.notifiableRegions;
@@ -326,9 +327,10 @@
     });
 }
 
-// An answer since the break shows that the request caused no crash. An earlier one shows
-// that the request is most likely not the cause. Answers that passed through this entry
-// are reported, so that other entries needn't wait either.
+// An answer after the connection broke shows that the request did not crash the endpoint,
+// so the connection is not recorded. An earlier answer makes it unlikely. In both cases an
+// answer that passed through this entry is reported, so that other entries don't delay the
+// request until the crash is settled.
 void CrashingRequests::recordReportedConnection(const CrashNotice& notice, const ToldCrash& crash, TimePoint now)
 {
     TimePoint at = now - crash.age;
@@ -378,7 +380,7 @@
     notice.request = request;
     std::size_t first = history.crashes.size() - std::min(history.crashes.size(), mostToldCrashes);
     for (std::size_t i = first; i < history.crashes.size(); ++i)
-        notice.crashes.push_back(makeToldCrash(history.crashes[i], true, now));
+        notice.crashes.push_back(makeReportedCrash(history.crashes[i], true, now));
     if (history.survivedAt != TimePoint {})
         notice.survivedAgo = ageOf(history.survivedAt, now);
     notice.refusedFor = ageOf(now, history.refusedUntil);
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -85,9 +85,11 @@
         return;
     }
     receiveReply(replies->front());
-    // The reply may come from another run at this address, or may be an error.
+    // receiveReply() may have replaced the member, so it is looked up again.
     member = m_members.find(ref);
     const auto* heartbeat = std::get_if<Heartbeat>(&replies->front());
+    // The exchange has failed if the reply is an error or comes from another run at this
+    // address.
     if (!member || !heartbeat || heartbeat->sender.ref != ref) {
         const auto* error = std::get_if<PeerError>(&replies->front());
         if (member && error && error->code == PeerErrorCode::UnknownRun)
@@ -155,8 +157,8 @@
         return;
     if (error.code == PeerErrorCode::LowIncarnation)
         raiseIncarnation(*error.known);
-    // A run that no member has accepted yet keeps trying instead, because the run
-    // with the higher incarnation may be an earlier one whose death is not detected
+    // A run that no member has accepted yet doesn't stop but keeps trying, because the
+    // run with the higher incarnation may be an earlier one whose death is not detected
     // yet.
     if (error.code == PeerErrorCode::OldIncarnation && m_isAccepted)
         supersede();
@@ -195,8 +197,8 @@
         heartbeat.load.push_back({ load.name, static_cast<std::uint32_t>(load.count) });
     TopChanges served = topChanges(m_served, member.channel.served(), m_options.maxTeamsPerHeartbeat);
     heartbeat.hasMoreServed = served.hasMore;
-    content.served = std::move(served.items);
-    for (const NamedCount& team : content.served)
+    content.servedTokens = std::move(served.items);
+    for (const NamedCount& team : content.servedTokens)
         heartbeat.served.push_back({ team.name, team.count });
     for (const auto& [endpoint, state] : m_leaving) {
         if (content.leaving.size() < leavingPerHeartbeat && !member.channel.knowsLeaving(endpoint))
