--- a/include/catkinwing/Admission/PoolQueue.h
+++ b/include/catkinwing/Admission/PoolQueue.h
@@ -15,8 +15,8 @@
 
 namespace catkinwing {
 
-/// The waiting requests of one pool of capacity: who goes next, by virtual-token
-/// counters of teams and of each team's classes. Doesn't own the requests.
+/// The waiting requests of one capacity pool. Selects the next request by virtual-token
+/// counters of the teams and of each team's classes. Doesn't own the requests.
 class PoolQueue {
 public:
     using CanStart = std::function<bool(const QueuedRequest&)>;
@@ -24,72 +24,79 @@
     explicit PoolQueue(const SharePolicy& policy);
     ~PoolQueue();
 
-    bool knows(const std::string& team) const { return m_byName.contains(team); }
-    /// Puts a team's weights in force; makes the team known.
-    void setTeam(const TeamPolicy& policy, bool held, TimePoint now);
-    /// Forgets a team; nothing of it may be queued.
+    bool hasTeam(const std::string& team) const { return m_teamsByName.contains(team); }
+    /// Applies a team's weights; adds the team if it is new.
+    void setTeam(const TeamPolicy& policy, bool paused, TimePoint now);
+    /// Removes a team, which must have no queued requests.
     void removeTeam(const std::string& team);
-    /// Stops or resumes starting a team's work.
-    void setHeld(const std::string& team, bool held);
+    /// Stops or resumes starting a team's requests.
+    void setTeamPaused(const std::string& team, bool paused);
 
-    /// Queues a request of a known team and class; it must stay where it is while
-    /// it is queued.
+    /// Queues a request of a known team and class. The request must keep its address
+    /// while it is queued.
     void add(const QueuedRequest& request, TimePoint now);
     void remove(const QueuedRequest& request, TimePoint now);
-    /// Returns the request to start and charges its cost; the caller removes it.
+    /// Returns the request to start and charges its cost; null if none can start. The
+    /// request stays queued until remove() is called.
     const QueuedRequest* pick(const CanStart& canStart, TimePoint now);
-    /// Adds \p tokens, which may be negative, to what a team and class were served.
-    void correct(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
-    /// Brings weights and credits up to date.
+    /// Adds \p tokens, which may be negative, to the service charged to a team and class.
+    void adjustCharge(const std::string& team, const std::string& requestClass, double tokens, TimePoint now);
+    /// Updates the teams' effective weights and limits how far their counters may lag
+    /// behind the virtual time. Call this about every half second.
     void refresh(TimePoint now);
 
-    RegionalShares& regional() { return m_regional; }
+    RegionalShares& regionalShares() { return m_regionalShares; }
     void appendCounters(const std::string& pool, std::vector<ServiceCounter>& counters) const;
     std::optional<Duration> predictedWait(const QueuedRequest& request, TimePoint now) const;
-    /// Returns the rate in tokens a second at which a team's work is started.
+    /// Returns the rate in tokens per second at which a team's requests are started.
     std::optional<double> teamRate(const std::string& team, TimePoint now) const;
-    double weightFraction(const std::string& team, TimePoint now) const;
+    double weightFactor(const std::string& team, TimePoint now) const;
     std::size_t waiting(WorkKind kind) const { return kind == WorkKind::Short ? m_waitingShort : m_waitingLong; }
     bool empty() const { return m_waitingShort + m_waitingLong == 0; }
 
 private:
-    struct Lane;
-    struct ClassEntry;
-    struct TeamEntry;
-    using LaneKey = std::pair<std::string, WorkKind>;
+    struct RequestGroup;
+    struct ClassState;
+    struct TeamState;
+    using RequestGroupKey = std::pair<std::string, WorkKind>;
 
-    TeamEntry* find(const std::string& team) const;
-    void joinOrders(TeamEntry& team);
-    void leaveOrders(TeamEntry& team);
-    void setCounter(TeamEntry& team, double counter);
-    void beginBacklog(TeamEntry& team, const Lane& lane, TimePoint now);
-    void endBacklog(TeamEntry& team, TimePoint now);
-    Lane* bestLane(const CanStart& canStart);
-    const QueuedRequest& headOf(Lane& lane) const;
-    void charge(TeamEntry& team, ClassEntry& entry, double tokens, TimePoint now);
-    RegionalStanding standingOf(const TeamEntry& team, TimePoint now) const;
-    void renewWeight(TeamEntry& team, TimePoint now);
-    void rebase();
-    double creditFloor(TimePoint now);
+    TeamState* find(const std::string& team) const;
+    void addToGroups(TeamState& team);
+    void removeFromGroups(TeamState& team);
+    void setCounter(TeamState& team, double counter);
+    void beginBacklog(TeamState& team, const RequestGroup& group, TimePoint now);
+    void endBacklog(TeamState& team, TimePoint now);
+    RequestGroup* findBestGroup(const CanStart& canStart);
+    const QueuedRequest& sampleRequest(RequestGroup& group) const;
+    void charge(TeamState& team, ClassState& entry, double tokens, TimePoint now);
+    RegionalStanding regionalStanding(const TeamState& team, TimePoint now) const;
+    void updateEffectiveWeight(TeamState& team, TimePoint now);
+    void rebaseCounters();
+    double minCounter(TimePoint now);
 
     SharePolicy m_policy;
-    RegionalShares m_regional;
-    DecayingRate m_localTotal;
-    /// Rate of the virtual time: what a weight of one is served here.
-    DecayingRate m_level;
-    DrainRate m_drain;
+    RegionalShares m_regionalShares;
+    DecayingRate m_localServedRate;
+    /// Rate at which the virtual time advances: the tokens per second that a team of
+    /// weight one is served in this pool.
+    DecayingRate m_virtualTimeRate;
+    DrainRate m_drainRate;
+    /// Largest team counter at a pick since the counters were last rebased. A team with
+    /// a smaller counter has received less than its share.
     double m_virtualTime { 0 };
-    /// Virtual time at the latest refreshes, over the credit window.
-    std::deque<std::pair<TimePoint, double>> m_history;
+    /// Virtual time at each refresh of the last SharePolicy::maxCompensationTime; limits
+    /// how far a counter may lag.
+    std::deque<std::pair<TimePoint, double>> m_virtualTimeHistory;
     double m_backloggedWeight { 0 };
     std::size_t m_waitingShort { 0 };
     std::size_t m_waitingLong { 0 };
-    std::vector<std::unique_ptr<TeamEntry>> m_teams;
-    absl::flat_hash_map<std::string, TeamEntry*> m_byName;
-    /// What removed teams were served: a team that comes back counts on, since
-    /// the other daemons take a counter that went back for an old word.
+    std::vector<std::unique_ptr<TeamState>> m_teams;
+    absl::flat_hash_map<std::string, TeamState*> m_teamsByName;
+    /// Tokens served to removed teams. The counter of a team that is added again
+    /// continues from there, since the other daemons treat a counter that decreased as
+    /// an outdated report.
     std::map<std::string, double> m_removedServed;
-    std::map<LaneKey, Lane> m_lanes;
+    std::map<RequestGroupKey, RequestGroup> m_groups;
 };
 
 } // namespace catkinwing
--- a/include/catkinwing/Admission/RegionalShares.h
+++ b/include/catkinwing/Admission/RegionalShares.h
@@ -9,73 +9,80 @@
 
 namespace catkinwing {
 
-/// What this daemon served of a pool lately, in tokens a second.
-struct LocalService {
-    /// To the team in question.
-    double team { 0 };
-    /// To all teams.
-    double all { 0 };
-    /// What a backlogged team of its weight, with no other daemon, gets here.
-    double level { 0 };
+/// Recent rates at which this daemon served a pool, in tokens per second.
+struct LocalServiceRates {
+    /// Rate served to the team in question.
+    double teamRate { 0 };
+    /// Rate served to all teams.
+    double totalRate { 0 };
+    /// Rate that a backlogged team of the same weight gets here if no other daemon
+    /// serves it.
+    double fairRate { 0 };
 };
 
-/// How a team stands in the region, seen from one of its daemons.
+/// Service that a team gets in the region relative to its fair share, computed by
+/// one daemon.
 struct RegionalStanding {
-    /// This daemon's part of the capacity of the daemons that serve the team; 1
-    /// if no other does.
-    double part { 1 };
-    /// Logarithm of what a team of its weight gets here over what the team gets
-    /// in the region: below zero if it has more than its share. Bounded.
-    double lean { 0 };
+    /// This daemon's share of the capacity of all daemons that serve the team; 1
+    /// if no other daemon does.
+    double capacityShare { 1 };
+    /// Logarithm of the rate that a team of this weight gets here divided by the
+    /// rate that the team gets in the region. Negative if the team gets more than
+    /// its share. Bounded.
+    double logDeficit { 0 };
     /// Whether another daemon serves the team.
-    bool shared { false };
+    bool isShared { false };
 };
 
-/// The part of a team's weight that counts in a daemon. Adapts from refresh to
-/// refresh while the team is backlogged there, and forgets while it isn't.
+/// Adapts the factor by which a team's weight is multiplied in this daemon. The shift of
+/// the factor is updated at each refresh while the team is backlogged here, and decays
+/// while the team isn't backlogged.
 class WeightShift {
 public:
-    /// Takes in the standing of a backlogged team.
+    /// Updates the shift from the standing of a backlogged team.
     void adapt(const RegionalStanding& standing, TimePoint now);
-    /// Returns the part of the weight that counts, above 0 and at most 1.5.
-    double fraction(const RegionalStanding& standing) const;
+    /// Returns the factor for the weight, above 0 and at most 1.5.
+    double weightFactor(const RegionalStanding& standing) const;
 
 private:
     double m_shift { 0 };
     TimePoint m_adaptedAt {};
 };
 
-/// What the other daemons of the region served of one pool.
+/// Tracks the service that the other daemons of the region give from one pool.
 class RegionalShares {
 public:
     explicit RegionalShares(const SharePolicy& policy = {});
-    /// Takes in a counter. The first word of a source on a team only sets the
-    /// baseline; an older life's word, or one that went back, is ignored.
+    /// Updates the rates from a received counter. The first counter of a source for
+    /// a team only sets the baseline. Counters of an older incarnation, and counters
+    /// that decreased, are ignored.
     void apply(const ServiceSource& source, const ServiceCounter& counter, TimePoint now);
-    /// Forgets a source that is gone.
-    void forget(const std::string& source);
-    /// Forgets a team that vanished.
-    void forgetTeam(const std::string& team) { m_teams.erase(team); }
-    /// Forgets sources without a word for long, whose rates have faded.
-    void prune(TimePoint now);
-    /// Returns how a team stands, given what this daemon served.
-    RegionalStanding standing(const std::string& team, const LocalService& local, TimePoint now) const;
+    /// Removes a source that has left.
+    void removeSource(const std::string& source);
+    /// Removes a team that no longer exists.
+    void removeTeam(const std::string& team) { m_teams.erase(team); }
+    /// Removes sources that have reported nothing for so long that their rates have
+    /// decayed.
+    void removeExpired(TimePoint now);
+    /// Returns the standing of a team, given the rates of this daemon.
+    RegionalStanding standing(const std::string& team, const LocalServiceRates& local, TimePoint now) const;
 
 private:
     struct Source {
         std::uint64_t incarnation { 0 };
         DecayingRate total;
-        TimePoint heardAt {};
+        TimePoint reportedAt {};
     };
     struct Counter {
         std::uint64_t incarnation { 0 };
         std::uint64_t tokens { 0 };
-        TimePoint at {};
-        /// When the count last grew.
+        TimePoint reportedAt {};
+        /// Time of the last increase of the count.
         TimePoint servedAt {};
         DecayingRate rate;
     };
-    /// By source; ordered, so that sums are the same in every run.
+    /// Counters by source. Ordered, so that floating-point sums are the same in
+    /// every run.
     using Counters = std::map<std::string, Counter>;
 
     SharePolicy m_policy;
--- /dev/null
+++ b/include/catkinwing/Ingress/IngressContext.h
@@ -0,0 +1,79 @@
+#pragma once
+
+#include "catkinwing/Admission/RetryWindow.h"
+#include "catkinwing/Http/HttpClient.h"
+#include "catkinwing/Ingress/Dialect.h"
+#include "catkinwing/Ingress/EndpointTable.h"
+#include "catkinwing/Ingress/EntryTable.h"
+#include "catkinwing/Ingress/RegionOutlooks.h"
+#include "catkinwing/Membership/CrashingRequests.h"
+#include "catkinwing/Reporting/DecisionLog.h"
+#include "catkinwing/Reporting/Metrics.h"
+#include "catkinwing/Routing/RegionAcceptance.h"
+#include "catkinwing/Routing/StreamLength.h"
+#include "catkinwing/Support/Scheduler.h"
+#include <absl/container/flat_hash_map.h>
+#include <memory>
+#include <optional>
+
+namespace catkinwing {
+
+/// Limits of the retries of a service. They apply to all entries together.
+struct RetryLimits {
+    /// Number of retries that each request adds to the retry budget.
+    double ratio { 0.2 };
+    /// Number of retries that are allowed in any window in addition to those by the ratio.
+    double allowance { 50 };
+    /// Length of the window over which requests and retries are counted.
+    Duration window { std::chrono::seconds(10) };
+};
+
+/// Times of the planned stop of an entry.
+struct PlannedStop {
+    /// When the entry began to stop.
+    TimePoint startedAt;
+    /// Requests that are unanswered at this time are aborted.
+    TimePoint abortAt;
+};
+
+/// State shared by the requests of one entry. All references outlive the requests.
+struct IngressContext {
+    Scheduler& scheduler;
+    Random& random;
+    HttpClient& endpointClient;
+    HttpClient& peerClient;
+    Metrics& metrics;
+    DecisionLog& log;
+    const Dialect& dialect;
+    std::string region;
+    EndpointTable endpoints;
+    EntryTable entries;
+    RetryLimits retryLimits;
+    /// This entry's share of the retry budget, by service.
+    absl::flat_hash_map<std::string, RetryWindow> retryBudgets;
+    /// Acceptance of each region, by service.
+    absl::flat_hash_map<std::string, RegionAcceptance> regionAcceptances;
+    /// Load reported by other regions.
+    RegionOutlooks outlooks;
+    /// Estimates of the number of events in a stream, by route.
+    absl::flat_hash_map<std::string, StreamLength> streamLengths;
+    /// Schedules that assign retry-after times to refused requests, by service.
+    absl::flat_hash_map<std::string, RetryAfterSchedule> retryAfterSchedules;
+    /// The configuration in force; null until the first one is received.
+    std::shared_ptr<const RouteTable> routes;
+    /// Set when the entry begins to stop.
+    std::optional<PlannedStop> plannedStop;
+    /// Number of requests that have no final answer yet.
+    std::size_t openRequestCount { 0 };
+    /// Number of the latest attempt of any request; attempts are numbered from 1.
+    std::uint64_t lastAttemptNumber { 0 };
+    /// Requests that crash endpoints or are suspected to.
+    CrashingRequests crashingRequests {};
+    /// When this entry's process started.
+    TimePoint startedAt {};
+
+    /// Returns the retry budget of \p service after updating its allowance.
+    RetryWindow& retryBudgetOf(const std::string& service);
+};
+
+} // namespace catkinwing
--- a/include/catkinwing/Membership/CrashingRequests.h
+++ b/include/catkinwing/Membership/CrashingRequests.h
@@ -11,131 +11,138 @@
 
 namespace catkinwing {
 
-/// Requests under which endpoints have crashed, as far as this entry knows. It
-/// tells a request that crashes endpoints from one that ran beside it: the one is
-/// never answered, and the crashes of the other have another cause.
+/// Tracks requests that were running when endpoints crashed. Distinguishes a request that
+/// crashes endpoints from requests that ran at the same time: the former is never
+/// answered, whereas an answer to the latter shows that its crashes have another cause.
 class CrashingRequests {
 public:
-    /// \p seed spreads over the entries when a refused request is tried again.
+    /// \p seed must differ between entries, so that they accept a refused request again at
+    /// different times.
     explicit CrashingRequests(std::uint64_t seed = 0)
         : m_seed(seed)
     {
     }
 
-    /// Tells whether any request is known, so that fingerprints matter.
+    /// Returns whether no request is tracked, in which case no fingerprints are needed.
     bool isEmpty() const { return m_pending.empty() && m_known.empty(); }
-    /// A connection broke while the endpoint ran the request, \p ranFor after it was
-    /// sent there. Counts as its crash unless the endpoint is heard from again; only
-    /// entries of \p regions may learn of it, or all if empty.
-    void noteBroken(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor = {});
-    /// The endpoint has sent something.
-    void noteAlive(std::uint32_t endpoint, TimePoint now);
-    /// The endpoint takes no connections, or another one has its address.
-    void noteGone(std::uint32_t endpoint, TimePoint now);
-    /// An endpoint answered the request.
-    void noteSurvived(const RequestFingerprint& request, TimePoint now);
-    /// Returns how much longer the request is refused; nothing if it isn't.
-    std::optional<Duration> refusedFor(const RequestFingerprint& request, TimePoint now) const;
-    /// The last crash under a request.
+    /// Records that the connection to \p endpoint broke while it ran the request, \p ranFor
+    /// after the request was sent. This counts as a crash of the endpoint unless data from
+    /// it is received again. Only entries of \p regions may be notified, or all if empty.
+    void recordBrokenConnection(const RequestFingerprint& request, std::uint32_t endpoint, std::vector<std::uint32_t> regions, TimePoint now, Duration ranFor = {});
+    /// Records that data from the endpoint was received.
+    void recordEndpointAlive(std::uint32_t endpoint, TimePoint now);
+    /// Records that the endpoint refuses connections, or that another one has its address.
+    void recordEndpointUnreachable(std::uint32_t endpoint, TimePoint now);
+    /// Records that an endpoint answered the request.
+    void recordSurvival(const RequestFingerprint& request, TimePoint now);
+    /// Returns the time for which the request is still refused, or none.
+    std::optional<Duration> remainingRefusal(const RequestFingerprint& request, TimePoint now) const;
+    /// The latest crash during an attempt of a request.
     struct RecentCrash {
         TimePoint at {};
-        /// It is the only one, and no other entry has told of one: most likely the request
-        /// merely ran beside the one that crashed the endpoint.
-        bool isOnlyOwn { true };
-        /// Those whose entries may know of it; all if empty.
-        std::vector<std::uint32_t> regions {};
+        /// True if the crash is the only one and no other entry has reported one. Then the
+        /// request probably just ran on the endpoint that another request crashed.
+        bool isOnlyKnownHere { true };
+        /// Regions whose entries may be notified of the crash; all if empty.
+        std::vector<std::uint32_t> notifiableRegions {};
     };
-    /// Returns the crash of which it isn't known whether the request is to blame for it;
-    /// nothing if it needn't wait for that.
+    /// Returns the latest crash that the request may have caused, or none if the request
+    /// may be sent without waiting for its turn.
     std::optional<RecentCrash> crashToAwait(const RequestFingerprint& request, TimePoint now) const;
-    /// Returns when the request may be sent from here, so that the same request is tried
-    /// once at a time until it is known whether it is to blame for the crash. Entries
-    /// take turns in the order given.
-    TimePoint turnOf(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const;
-    /// A request for which crashToAwait() returned something is sent.
-    void noteTried(const RequestFingerprint& request, TimePoint now) { m_tried[request] = now; }
+    /// Returns when this entry may send the request. Entries take turns in \p order, so
+    /// that only one attempt of the same request runs at a time until it is known whether
+    /// the request caused the crash.
+    TimePoint nextTurn(const RequestFingerprint& request, const RecentCrash& crash, const EntryOrder& order, TimePoint now) const;
+    /// Records that a request is sent for which crashToAwait() returned a crash.
+    void recordAttempt(const RequestFingerprint& request, TimePoint now) { m_tried[request] = now; }
 
-    /// Takes what another entry knows.
-    void take(const CrashNotice& notice, TimePoint now);
-    /// Settles what has broken and forgets what is old; to be called several times a second.
-    void houseKeep(TimePoint now);
-    /// Returns connections that broke and answers that refute them since the last call,
-    /// for entries to which the same request may come before the crash is settled.
-    std::vector<CrashNotice> takeUrgent(TimePoint now);
-    /// Calls back when there is something to take.
-    void onUrgent(std::function<void()> callback) { m_onUrgent = std::move(callback); }
-    /// Returns crashes settled since the last call, for the entries that count them.
-    std::vector<CrashNotice> takeSettled() { return std::exchange(m_settled, {}); }
-    /// Returns what has changed of requests under which more than one endpoint
-    /// crashed, each for some calls.
-    std::vector<CrashNotice> takeNews(TimePoint now);
-    /// Returns all that is known of such requests.
-    std::vector<CrashNotice> suspects(TimePoint now) const;
-    /// Returns the number of requests that are refused now.
-    std::size_t refused(TimePoint now) const;
+    /// Merges a notice of another entry.
+    void mergeNotice(const CrashNotice& notice, TimePoint now);
+    /// Decides whether broken connections were crashes, and removes expired state. To be
+    /// called several times a second.
+    void settleAndExpire(TimePoint now);
+    /// Returns broken connections, and answers that show that the request caused no crash,
+    /// since the last call. Other entries may receive the same request before the crash is
+    /// settled.
+    std::vector<CrashNotice> takeUrgentNotices(TimePoint now);
+    /// Sets the callback that is called when the first notice since the last call of
+    /// takeUrgentNotices() is queued. Without a callback, no urgent notices are kept.
+    void setUrgentCallback(std::function<void()> callback) { m_onUrgent = std::move(callback); }
+    /// Returns crashes settled since the last call, for the entries that count crashes.
+    std::vector<CrashNotice> takeSettledNotices() { return std::exchange(m_settled, {}); }
+    /// Returns the changed histories of suspect requests: those with several separate
+    /// crashes, a refusal or an answer. Each change is returned by several calls.
+    std::vector<CrashNotice> takeChangedNotices(TimePoint now);
+    /// Returns the histories of all suspect requests.
+    std::vector<CrashNotice> suspectNotices(TimePoint now) const;
+    /// Returns the number of requests that are refused at \p now.
+    std::size_t refusedCount(TimePoint now) const;
     std::size_t size() const { return m_known.size(); }
-    /// Returns the number of requests whose answers are remembered.
-    std::size_t answered() const { return m_answered.size(); }
+    /// Returns the number of requests that are recorded as answered.
+    std::size_t answeredCount() const { return m_answered.size(); }
 
 private:
-    /// A connection that broke a moment ago.
-    struct Broken {
+    /// A broken connection of which it isn't yet decided (settled) whether the endpoint
+    /// crashed.
+    struct BrokenConnection {
         RequestFingerprint request;
         std::uint32_t endpoint { 0 };
         TimePoint at {};
         Duration ranFor { 0 };
-        std::vector<std::uint32_t> regions;
-        bool isGone { false };
-        /// Another entry's; it settles it.
-        bool isTold { false };
+        std::vector<std::uint32_t> notifiableRegions;
+        bool isEndpointUnreachable { false };
+        /// True if another entry reported the connection; that entry settles it.
+        bool isFromOtherEntry { false };
     };
     struct Answered {
         TimePoint at {};
-        /// This entry has answered it itself.
+        /// True if the answer passed through this entry.
         bool isOwn { false };
     };
-    /// A broken connection, or an answer, that is to be told at once.
-    struct Urgent {
-        Broken broken;
+    /// A broken connection, or an answer, to be reported immediately.
+    struct UrgentNotice {
+        BrokenConnection broken;
         bool isAnswered { false };
     };
-    struct Known {
+    struct TrackedRequest {
         CrashHistory history;
-        std::vector<std::uint32_t> regions;
-        /// How often it is still to be told as news.
-        unsigned timesToTell { 0 };
+        std::vector<std::uint32_t> notifiableRegions;
+        /// Number of calls of takeChangedNotices() that still return the history.
+        unsigned reportsLeft { 0 };
     };
 
     std::optional<RecentCrash> recentCrash(const RequestFingerprint& request, TimePoint now) const;
-    void tellAtOnce(Urgent urgent);
-    /// Takes out what broke before the request was answered.
+    void queueUrgent(UrgentNotice urgent);
+    /// Removes pending connections of the request that broke up to \p answeredAt.
     void dropPending(const RequestFingerprint& request, TimePoint answeredAt);
-    void noteAnswered(const RequestFingerprint& request, TimePoint at, bool isOwn);
-    void forgetAnswers(TimePoint now);
-    void takePending(const CrashNotice& notice, const ToldCrash& crash, TimePoint now);
-    void settle(const Broken& broken, TimePoint now);
-    void noteChange(const RequestFingerprint& request, Known& known, unsigned refusalsBefore, TimePoint now);
-    void explainCrashes(const RequestFingerprint& request, const CrashHistory& history);
-    bool isExplained(const RequestFingerprint& request, std::uint32_t endpoint) const;
-    Known& obtain(const RequestFingerprint& request);
-    void makeRoom();
-    Duration delayOf(const RequestFingerprint& request) const;
-    bool mayBeRefusedSoon(const RequestFingerprint& request, CrashHistory history) const;
-    static bool isSuspect(const Known& known);
-    static CrashNotice noticeOf(const RequestFingerprint& request, const Known& known, TimePoint now);
+    void recordAnswer(const RequestFingerprint& request, TimePoint at, bool isOwn);
+    void pruneAnswers(TimePoint now);
+    void recordReportedConnection(const CrashNotice& notice, const ToldCrash& crash, TimePoint now);
+    void settle(const BrokenConnection& broken, TimePoint now);
+    void handleHistoryChange(const RequestFingerprint& request, TrackedRequest& known, unsigned refusalsBefore, TimePoint now);
+    void attributeCrashes(const RequestFingerprint& request, const CrashHistory& history);
+    bool hasOtherCause(const RequestFingerprint& request, std::uint32_t endpoint) const;
+    TrackedRequest& findOrCreate(const RequestFingerprint& request);
+    void evictOldest();
+    Duration refusalDelay(const RequestFingerprint& request) const;
+    bool wouldBeRefused(const RequestFingerprint& request, CrashHistory history) const;
+    static bool isSuspect(const TrackedRequest& known);
+    static CrashNotice makeNotice(const RequestFingerprint& request, const TrackedRequest& known, TimePoint now);
 
     std::uint64_t m_seed;
-    std::vector<Broken> m_pending;
-    absl::flat_hash_map<RequestFingerprint, Known, RequestFingerprintHash> m_known;
-    /// Requests that were answered of late.
+    std::vector<BrokenConnection> m_pending;
+    absl::flat_hash_map<RequestFingerprint, TrackedRequest, RequestFingerprintHash> m_known;
+    /// Requests that were answered recently.
     absl::flat_hash_map<RequestFingerprint, Answered, RequestFingerprintHash> m_answered;
-    TimePoint m_answersForgottenAt {};
-    /// When requests that may have to wait were last sent from here.
+    TimePoint m_answersPrunedAt {};
+    /// Time of this entry's latest attempt of each request that is sent in turns after a
+    /// crash; see nextTurn().
     absl::flat_hash_map<RequestFingerprint, TimePoint, RequestFingerprintHash> m_tried;
-    /// The refused request that crashed each endpoint.
+    /// The refused request that crashed each endpoint, by the hash of the endpoint's
+    /// incarnation.
     absl::flat_hash_map<std::uint32_t, RequestFingerprint> m_causes;
     std::vector<CrashNotice> m_settled;
-    std::vector<Urgent> m_urgent;
+    std::vector<UrgentNotice> m_urgent;
     std::function<void()> m_onUrgent;
 };
 
--- a/lib/Admission/AdmissionController.cpp
+++ b/lib/Admission/AdmissionController.cpp
@@ -8,16 +8,16 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/// Requests dropped at most to make room for one newcomer.
+/// Maximum number of requests evicted to admit one request.
 static constexpr std::size_t maxEvictions = 64;
-/// Shortest time between refreshes of the shares.
+/// Minimum time between refreshes of the shares.
 static constexpr Duration refreshInterval = std::chrono::milliseconds(500);
-/// Factor on the predicted wait, for the error of the prediction.
-static constexpr double waitMargin = 1.25;
-/// Longest Retry-After worth telling.
+/// Safety factor on the predicted wait that allows for prediction errors.
+static constexpr double waitSafetyFactor = 1.25;
+/// Maximum retry-after time that is reported to a client.
 static constexpr Duration maxRetryAfter = std::chrono::hours(1);
 
-static double burstOf(const TeamPolicy& policy)
+static double burstSize(const TeamPolicy& policy)
 {
     return std::max(1.0, policy.limits.burst);
 }
@@ -39,39 +39,39 @@
     for (const TeamPolicy& policy : teams) {
         auto known = m_teams.find(policy.name);
         TeamState& state = states[policy.name];
-        state = known == m_teams.end() ? newTeam(policy) : std::move(known->second);
+        state = known == m_teams.end() ? makeTeamState(policy) : std::move(known->second);
         state.limits = policy.limits;
-        state.rate.configure(policy.limits.requestsPerSecond, burstOf(policy), now);
+        state.rateBucket.configure(policy.limits.requestsPerSecond, burstSize(policy), now);
         state.classes.clear();
         for (const ClassPolicy& classPolicy : policy.classes)
             state.classes.insert(classPolicy.name);
     }
     m_teams = std::move(states);
     for (const TeamPolicy& policy : teams)
-        updateHeld(policy.name);
+        updateTeamPaused(policy.name);
     return dropped;
 }
 
-AdmissionController::TeamState AdmissionController::newTeam(const TeamPolicy& policy) const
+AdmissionController::TeamState AdmissionController::makeTeamState(const TeamPolicy& policy) const
 {
     TeamState state;
-    state.rate = RateBucket(policy.limits.requestsPerSecond, burstOf(policy));
-    // A team that comes back may still have work in flight from before.
+    state.rateBucket = RateBucket(policy.limits.requestsPerSecond, burstSize(policy));
+    // A team that is added again may still have requests in flight from before.
     for (const auto& [id, request] : m_inFlight) {
         if (request.team != policy.name)
             continue;
         ++state.inFlight;
-        ++state.callers[request.caller];
+        ++state.requestsByCaller[request.caller];
     }
     return state;
 }
 
 void AdmissionController::setSlots(const std::string& pool, std::size_t total)
 {
-    poolOf(pool).slots = total;
+    findOrCreatePool(pool).slots = total;
 }
 
-AdmissionController::PoolState& AdmissionController::poolOf(const std::string& pool)
+AdmissionController::PoolState& AdmissionController::findOrCreatePool(const std::string& pool)
 {
     auto [entry, isNew] = m_pools.try_emplace(pool);
     if (isNew)
@@ -85,16 +85,16 @@
     decision.refusal = refusalFor(request, now);
     if (decision.refusal)
         return decision;
-    decision.refusal = makeRoom(request, now, decision.dropped);
+    decision.refusal = evictForCapacity(request, now, decision.evicted);
     if (decision.refusal)
         return decision;
     TeamState& team = m_teams.at(request.team);
     if (team.limits.requestsPerSecond > 0)
-        team.rate.take(1, now);
-    ++team.callers[request.caller];
+        team.rateBucket.take(1, now);
+    ++team.requestsByCaller[request.caller];
     std::string pool = request.poolName();
     m_queue.enqueue(std::move(request), now);
-    noteShort(pool, now);
+    recordShortWorkDemand(pool, now);
     return decision;
 }
 
@@ -114,15 +114,15 @@
 
 std::optional<Refusal> AdmissionController::refusalByLimits(TeamState& team, const QueuedRequest& request, TimePoint now) const
 {
-    auto caller = team.callers.find(request.caller);
-    bool named = !request.caller.empty();
-    if (named && caller != team.callers.end() && caller->second >= team.limits.perCaller)
+    auto caller = team.requestsByCaller.find(request.caller);
+    bool hasCaller = !request.caller.empty();
+    if (hasCaller && caller != team.requestsByCaller.end() && caller->second >= team.limits.requestsPerCaller)
         return Refusal { RefusalReason::CallerConcurrency, std::nullopt };
-    if (m_queue.teamSize(request.team) >= team.limits.queued)
+    if (m_queue.teamSize(request.team) >= team.limits.maxQueued)
         return Refusal { RefusalReason::TeamQueueFull, timeToDrain(request, now) };
     if (team.limits.requestsPerSecond <= 0)
         return std::nullopt;
-    Duration wait = team.rate.timeUntil(1, now);
+    Duration wait = team.rateBucket.timeUntil(1, now);
     if (wait == Duration::zero())
         return std::nullopt;
     return Refusal { RefusalReason::RequestRate, wait };
@@ -130,17 +130,16 @@
 
 std::optional<Refusal> AdmissionController::refusalByDeadline(const QueuedRequest& request, TimePoint now) const
 {
-    // With no wait at all it would still be late; the same request would be
-    // later another time too.
+    // The request would be late even without any wait, and so would a retry.
     if (request.latestStart() <= now)
         return Refusal { RefusalReason::PredictedLate, std::nullopt };
     std::optional<Duration> wait = m_queue.predictedWait(request, now);
-    // The longest wait that is let in. A request refused now can go elsewhere; one
-    // that expires has waited for nothing.
-    Duration allowed = std::chrono::duration_cast<Duration>((request.latestStart() - now) / waitMargin);
+    // The maximum wait that is admitted. A request refused now can still run elsewhere,
+    // whereas one that expires in the queue has wasted its time.
+    Duration allowed = std::chrono::duration_cast<Duration>((request.latestStart() - now) / waitSafetyFactor);
     if (!wait || *wait <= allowed)
         return std::nullopt;
-    // Once the excess has drained, the same request is let in.
+    // Once the excess has drained, the same request is admitted.
     Duration excess = *wait - allowed;
     if (excess > maxRetryAfter)
         return Refusal { RefusalReason::PredictedLate, std::nullopt };
@@ -158,24 +157,24 @@
     return std::chrono::ceil<Duration>(Seconds(seconds));
 }
 
-std::optional<Refusal> AdmissionController::makeRoom(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& dropped)
+std::optional<Refusal> AdmissionController::evictForCapacity(const QueuedRequest& request, TimePoint now, std::vector<DroppedRequest>& evicted)
 {
-    if (request.bytes > m_limits.queuedBytes)
+    if (request.bytes > m_limits.maxQueuedBytes)
         return Refusal { RefusalReason::QueueBytesFull, std::nullopt };
     for (std::size_t i = 0; i < maxEvictions; ++i) {
-        bool fitsCount = m_queue.size() < m_limits.queuedRequests;
-        if (fitsCount && m_queue.bytes() + request.bytes <= m_limits.queuedBytes)
+        bool fitsCount = m_queue.size() < m_limits.maxQueuedRequests;
+        if (fitsCount && m_queue.bytes() + request.bytes <= m_limits.maxQueuedBytes)
             return std::nullopt;
         std::optional<QueuedRequest> victim = m_queue.evictFor(request, now);
         if (!victim)
             return Refusal { fitsCount ? RefusalReason::QueueBytesFull : RefusalReason::QueueFull, timeToDrain(request, now) };
         std::optional<Duration> retryAfter = timeToDrain(*victim, now);
-        dropped.push_back(drop(std::move(*victim), { RefusalReason::Evicted, retryAfter }));
+        evicted.push_back(drop(std::move(*victim), { RefusalReason::Evicted, retryAfter }));
     }
     return Refusal { RefusalReason::QueueBytesFull, timeToDrain(request, now) };
 }
 
-std::optional<QueuedRequest> AdmissionController::next(const CanStart& canStart, TimePoint now)
+std::optional<QueuedRequest> AdmissionController::startNext(const CanStart& canStart, TimePoint now)
 {
     auto mayStartNow = [&](const QueuedRequest& request) {
         auto pool = m_pools.find(request.poolName());
@@ -191,43 +190,43 @@
     std::optional<QueuedRequest> picked = m_queue.pickNext(mayStartNow, now);
     if (!picked)
         return std::nullopt;
-    PoolState& pool = poolOf(picked->poolName());
+    PoolState& pool = findOrCreatePool(picked->poolName());
     ++(picked->kind == WorkKind::Short ? pool.shortInFlight : pool.longInFlight);
     ++m_teams.at(picked->team).inFlight;
     m_inFlight.emplace(picked->id, *picked);
-    updateHeld(picked->team);
+    updateTeamPaused(picked->team);
     return picked;
 }
 
-QueuedRequest AdmissionController::leaveFlight(RequestId id, double actualCost, TimePoint now)
+QueuedRequest AdmissionController::removeInFlight(RequestId id, double actualCost, TimePoint now)
 {
     auto found = m_inFlight.find(id);
-    assert(found != m_inFlight.end() && "only what next() returned can end");
+    assert(found != m_inFlight.end() && "only a request returned by startNext() can end");
     QueuedRequest request = std::move(found->second);
     m_inFlight.erase(found);
-    PoolState& pool = poolOf(request.poolName());
+    PoolState& pool = findOrCreatePool(request.poolName());
     --(request.kind == WorkKind::Short ? pool.shortInFlight : pool.longInFlight);
     m_queue.settle(request, actualCost, now);
     auto team = m_teams.find(request.team);
     if (team != m_teams.end()) {
         --team->second.inFlight;
-        updateHeld(request.team);
+        updateTeamPaused(request.team);
     }
     return request;
 }
 
-bool AdmissionController::putBack(RequestId id, TimePoint now)
+bool AdmissionController::requeue(RequestId id, TimePoint now)
 {
-    QueuedRequest request = leaveFlight(id, 0, now);
+    QueuedRequest request = removeInFlight(id, 0, now);
     if (m_queue.enqueue(request, now))
         return true;
     releaseCaller(request);
     return false;
 }
 
-void AdmissionController::finished(RequestId id, double actualCost, TimePoint now)
+void AdmissionController::finish(RequestId id, double actualCost, TimePoint now)
 {
-    releaseCaller(leaveFlight(id, actualCost, now));
+    releaseCaller(removeInFlight(id, actualCost, now));
 }
 
 bool AdmissionController::remove(RequestId id, TimePoint now)
@@ -237,10 +236,10 @@
         releaseCaller(*removed);
         return true;
     }
-    auto late = std::find_if(m_expired.begin(), m_expired.end(), [id](const DroppedRequest& dropped) { return dropped.request.id == id; });
-    if (late == m_expired.end())
+    auto expired = std::find_if(m_expired.begin(), m_expired.end(), [id](const DroppedRequest& dropped) { return dropped.request.id == id; });
+    if (expired == m_expired.end())
         return false;
-    m_expired.erase(late);
+    m_expired.erase(expired);
     return true;
 }
 
@@ -259,7 +258,7 @@
     m_refreshedAt = now;
     m_queue.refreshShares(now);
     for (auto& [name, pool] : m_pools)
-        noteShort(name, now);
+        recordShortWorkDemand(name, now);
     return dropped;
 }
 
@@ -274,21 +273,21 @@
     auto team = m_teams.find(request.team);
     if (team == m_teams.end())
         return;
-    auto caller = team->second.callers.find(request.caller);
-    if (caller != team->second.callers.end() && --caller->second == 0)
-        team->second.callers.erase(caller);
+    auto caller = team->second.requestsByCaller.find(request.caller);
+    if (caller != team->second.requestsByCaller.end() && --caller->second == 0)
+        team->second.requestsByCaller.erase(caller);
 }
 
-void AdmissionController::updateHeld(const std::string& team)
+void AdmissionController::updateTeamPaused(const std::string& team)
 {
     const TeamState& state = m_teams.at(team);
-    m_queue.setTeamHeld(team, state.inFlight >= state.limits.inFlight);
+    m_queue.setTeamPaused(team, state.inFlight >= state.limits.maxInFlight);
 }
 
-void AdmissionController::noteShort(const std::string& pool, TimePoint now)
+void AdmissionController::recordShortWorkDemand(const std::string& pool, TimePoint now)
 {
-    PoolState& state = poolOf(pool);
-    state.reservation.noteShort(state.shortInFlight, m_queue.waiting(pool, WorkKind::Short), now);
+    PoolState& state = findOrCreatePool(pool);
+    state.reservation.recordShortWorkDemand(state.shortInFlight, m_queue.waiting(pool, WorkKind::Short), now);
 }
 
 } // namespace catkinwing
--- a/lib/Admission/RetryWindow.cpp
+++ b/lib/Admission/RetryWindow.cpp
@@ -5,21 +5,22 @@
 
 namespace catkinwing {
 
-// In no window does an entry send again more than the ratio of the mean of its
-// requests in that window and in the one before. Both spans are the same at all
-// entries, so the bound holds for their sum too: the mean over all requests is at
-// most the larger of the two.
+// In each window, the retries of an entry are limited to the ratio times the mean of
+// its requests in that window and in the previous one, plus slack and phase. Both
+// windows are the same at all entries, so the limit holds for the sum over all
+// entries too: the mean of the two counts of all requests is at most the larger one.
 //
-// Half of what the window before has earned can be spent at once, as after a crash;
-// the other half as requests come, also where they have just begun to.
+// Half of the retries allowed for the requests of the previous window are available
+// at once, for example after a crash. The other half becomes available as requests
+// arrive, also at an entry that has just begun to receive requests.
 //
-// The most requests of any window up to now would not do as a bound: where load
-// moves, the entries that lose it spend what they have earned while those that get it
-// earn the same once more.
+// The max number of requests of any past window would be a wrong limit: when load
+// moves, the entries that lose it would use their old allowance while the entries
+// that receive the load get the same allowance again.
 
-/// A retry arrives up to this much later than it is decided, with a new connection,
-/// and counts in windows that begin in between.
-static constexpr std::chrono::milliseconds longestWay { 1'000 };
+/// Max time from the decision to retry until the retry arrives, with a new connection.
+/// The retry also counts in windows that begin within this time.
+static constexpr std::chrono::milliseconds maxSendDelay { 1'000 };
 
 static std::int64_t stepNumber(TimePoint time, std::chrono::milliseconds stepLength)
 {
@@ -29,7 +30,7 @@
 RetryWindow::Step& RetryWindow::stepAt(TimePoint now)
 {
     std::int64_t number = stepNumber(now, stepLength);
-    std::int64_t oldest = number - 2 * stepsPerWindow() - longestWay / stepLength;
+    std::int64_t oldest = number - 2 * stepsPerWindow() - maxSendDelay / stepLength;
     while (!m_steps.empty() && m_steps.front().number < oldest)
         m_steps.pop_front();
     if (m_steps.empty() || m_steps.back().number < number)
@@ -49,24 +50,25 @@
 
 double RetryWindow::allowedFrom(std::int64_t step) const
 {
-    auto earning = static_cast<double>(sum(&Step::requests, step - stepsPerWindow(), step + stepsPerWindow()));
-    return m_allowance.ratio * earning / 2 + m_allowance.slack + m_phase;
+    auto requests = static_cast<double>(sum(&Step::requests, step - stepsPerWindow(), step + stepsPerWindow()));
+    return m_allowance.ratio * requests / 2 + m_allowance.slack + m_phase;
 }
 
-// The window in which least is left decides.
-double RetryWindow::left(TimePoint now) const
+// Returns the min of the remaining retries over all windows that a retry at \p now
+// can fall into.
+double RetryWindow::remaining(TimePoint now) const
 {
     std::int64_t current = stepNumber(now, stepLength);
-    std::int64_t first = current - stepsPerWindow() - longestWay / stepLength + 1;
-    double least = std::numeric_limits<double>::max();
+    std::int64_t first = current - stepsPerWindow() - maxSendDelay / stepLength + 1;
+    double fewest = std::numeric_limits<double>::max();
     for (std::int64_t step = first; step <= current; ++step) {
         auto spent = static_cast<double>(sum(&Step::retries, step, current + 1));
-        least = std::min(least, allowedFrom(step) - spent);
+        fewest = std::min(fewest, allowedFrom(step) - spent);
     }
-    return least;
+    return fewest;
 }
 
-void RetryWindow::noteRequest(TimePoint now)
+void RetryWindow::recordRequest(TimePoint now)
 {
     ++stepAt(now).requests;
     ++m_totals.requests;
@@ -74,9 +76,9 @@
 
 bool RetryWindow::hasRetry(TimePoint now, RetryOrder order) const
 {
-    double remains = left(now) - 1;
-    double spared = order == RetryOrder::First ? 0 : allowedFrom(stepNumber(now, stepLength)) / 2;
-    return remains >= spared;
+    double remainingAfter = remaining(now) - 1;
+    double reserved = order == RetryOrder::First ? 0 : allowedFrom(stepNumber(now, stepLength)) / 2;
+    return remainingAfter >= reserved;
 }
 
 bool RetryWindow::tryRetry(TimePoint now, RetryOrder order)
--- a/lib/Admission/SlotDivision.cpp
+++ b/lib/Admission/SlotDivision.cpp
@@ -5,43 +5,44 @@
 
 namespace catkinwing {
 
-// Every entry computes the whole division from the same heartbeats, so equal
-// views give credits that sum to the total without any agreement. Views differ
-// for up to one heartbeat after a change. SlotCredit covers that: an entry uses
-// the least that the division gave it within its grow delay. If the delay is no
-// shorter than the spread of the views, one change of demand can't overshoot:
-// either some entry saw only the new view in its window, then all have seen it
-// and use at most what it gives, or all have the old view in their window and
-// use at most what that gives. Changes that come faster, or an entry that is
-// wrongly believed dead, can overshoot by at most what the division then gives
-// twice, never above total slots for each disagreeing view; the endpoint's own
-// queue takes that.
+// Every entry computes the whole division from the same heartbeats, so with equal
+// views the credits sum to the total without coordination. Views differ for up to
+// one heartbeat after a change. SlotCredit covers this time: an entry uses the min
+// of the slots that the division gave it within its grow delay. If the delay is at
+// least the time in which all views are updated, one change of demand can't exceed
+// the total. Either the window of some entry has only the new view; then all entries
+// have received that view and use at most the slots that it gives. Or the windows of
+// all entries include the old view, and they use at most the slots that it gives.
+// Several changes within the delay, or a live entry that is recorded as dead, can
+// exceed the total by the slots that are given twice, at most the total slots for
+// each differing view. The queue of the endpoint absorbs this excess.
 
 using Slots = std::vector<std::size_t>;
 
-static Slots equalParts(std::size_t total, std::size_t count)
+static Slots equalShares(std::size_t total, std::size_t count)
 {
-    Slots parts(count, total / count);
+    Slots shares(count, total / count);
     for (std::size_t i = 0; i < total % count; ++i)
-        ++parts[i];
-    return parts;
+        ++shares[i];
+    return shares;
 }
 
-/// Raises the lowest credits to a common level until demand or slots are used up.
-static std::size_t fillToDemand(Slots& credits, const std::vector<EntryDemand>& demands, std::size_t left)
+/// Divides \p remaining slots evenly among the entries with unmet demand, up to the
+/// demand of each entry. Returns the slots that remain.
+static std::size_t fillToDemand(Slots& credits, const std::vector<EntryDemand>& demands, std::size_t remaining)
 {
     std::vector<std::size_t> order(credits.size());
     std::iota(order.begin(), order.end(), std::size_t { 0 });
     std::stable_sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) { return demands[a].slots < demands[b].slots; });
-    std::size_t sharers = order.size();
+    std::size_t entriesLeft = order.size();
     for (std::size_t index : order) {
         std::size_t unmet = demands[index].slots > credits[index] ? demands[index].slots - credits[index] : 0;
-        std::size_t given = std::min(unmet, (left + sharers - 1) / sharers);
-        credits[index] += given;
-        left -= given;
-        --sharers;
+        std::size_t granted = std::min(unmet, (remaining + entriesLeft - 1) / entriesLeft);
+        credits[index] += granted;
+        remaining -= granted;
+        --entriesLeft;
     }
-    return left;
+    return remaining;
 }
 
 std::vector<EntryCredit> divideSlots(std::size_t totalSlots, std::vector<EntryDemand> demands, std::size_t floor)
@@ -50,15 +51,15 @@
         return {};
     std::sort(demands.begin(), demands.end(), [](const EntryDemand& a, const EntryDemand& b) { return a.entry < b.entry; });
     std::size_t count = demands.size();
-    Slots credits = equalParts(std::min(totalSlots, floor * count), count);
-    std::size_t left = totalSlots - std::min(totalSlots, floor * count);
-    left = fillToDemand(credits, demands, left);
-    Slots spare = equalParts(left, count);
+    Slots credits = equalShares(std::min(totalSlots, floor * count), count);
+    std::size_t remaining = totalSlots - std::min(totalSlots, floor * count);
+    remaining = fillToDemand(credits, demands, remaining);
+    Slots spareSlots = equalShares(remaining, count);
 
     std::vector<EntryCredit> result;
     result.reserve(count);
     for (std::size_t i = 0; i < count; ++i)
-        result.push_back({ demands[i].entry, credits[i] + spare[i] });
+        result.push_back({ demands[i].entry, credits[i] + spareSlots[i] });
     return result;
 }
 
@@ -70,7 +71,9 @@
 std::size_t SlotCredit::update(std::size_t slots, TimePoint now)
 {
     if (m_samples.empty() || m_samples.back().slots != slots) {
-        // The new value takes the place of greater ones from when they began.
+        // Earlier samples with at least as many slots can no longer be the min of the
+        // window. Removes them; the new sample starts at the time of the earliest removed
+        // one, so that the samples leave no gap.
         TimePoint since = now;
         while (!m_samples.empty() && m_samples.back().slots >= slots) {
             since = m_samples.back().at;
@@ -78,7 +81,8 @@
         }
         m_samples.push_back({ since, slots });
     }
-    // The front was in force until the next began; past the window it is forgotten.
+    // A sample applies until the start of the next one. Removes the front if the next
+    // sample started before the window.
     while (m_samples.size() > 1 && m_samples[1].at <= now - m_growDelay)
         m_samples.pop_front();
     return m_samples.front().slots;
--- a/lib/Admission/WaitLimit.cpp
+++ b/lib/Admission/WaitLimit.cpp
@@ -6,51 +6,55 @@
 
 using std::chrono::milliseconds;
 
-/// Part of the target, less what an idle endpoint takes, that may pass before the
-/// endpoint begins. Anything from 0.8 to 1.1 serves alike; at 0.6 too much is refused.
-static constexpr double waitPart = 0.95;
-/// An endpoint that is never in time is waited for by this part of the target.
-static constexpr double leastWaitPart = 0.2;
-/// Less urgent kinds leave this much of the wait to the more urgent ones, which
-/// so find room however much of the others comes.
-static constexpr double lessUrgentPart = 0.7;
-/// A client that has been sent back once is late already; it is taken unless it
-/// would wait for more than this part of what it has left.
-static constexpr double returnedPart = 0.7;
-/// Of a client with less than this part of its time something has passed before.
-static constexpr double freshPart = 0.93;
-/// Assumed where no target is stated.
-static constexpr milliseconds usualTarget { 1'000 };
-/// Sooner a client finds nothing changed.
-static constexpr milliseconds shortestReturn { 250 };
-/// Part of what the endpoints can do that is left to clients that come back.
-static constexpr double partForReturns = 0.3;
-
-static Duration partOf(Duration duration, double part)
+/// Max wait, as a fraction of the latency target minus the time to first byte of an
+/// idle endpoint. Values from 0.8 to 1.1 give similar results; 0.6 refuses too many
+/// requests.
+static constexpr double maxWaitFraction = 0.95;
+/// Lower limit of the max wait, as a fraction of the target. Applies to endpoints that
+/// are too slow to meet the target even when idle.
+static constexpr double minWaitFraction = 0.2;
+/// Fraction of the max wait that applies to less urgent request kinds. The rest is
+/// left to the more urgent kinds, so that any load of less urgent requests leaves
+/// capacity for them.
+static constexpr double lessUrgentFraction = 0.7;
+/// Fraction of the max wait that applies to a client that was refused before. Its
+/// request has missed the latency target already.
+static constexpr double retryWaitFraction = 0.7;
+/// A request with less than this fraction of its timeout left counts as a retry after
+/// a refusal.
+static constexpr double firstAttemptFraction = 0.93;
+/// Latency target of requests for which none is set.
+static constexpr milliseconds defaultLatencyTarget { 1'000 };
+/// Min retry-after time. The load doesn't change noticeably in a shorter time.
+static constexpr milliseconds minRetryAfter { 250 };
+/// Fraction of the endpoints' capacity that is planned for retries of refused clients.
+static constexpr double retryCapacityFraction = 0.3;
+
+static Duration scaled(Duration duration, double factor)
 {
-    return std::chrono::duration_cast<Duration>(duration * part);
+    return std::chrono::duration_cast<Duration>(duration * factor);
 }
 
-Duration longestWait(const WaitDemand& demand, Duration idleFirstByte)
+Duration maxQueueWait(const WaitLimitInputs& demand, Duration idleFirstByte)
 {
-    Duration target = demand.latencyTarget > milliseconds::zero() ? demand.latencyTarget : usualTarget;
-    Duration wait = std::max(partOf(target - idleFirstByte, waitPart), partOf(target, leastWaitPart));
-    bool isReturning = demand.timeLeft < partOf(demand.timeout, freshPart);
-    if (isReturning)
-        wait = partOf(wait, returnedPart);
-    return demand.hasMoreUrgent ? partOf(wait, lessUrgentPart) : wait;
+    Duration target = demand.latencyTarget > milliseconds::zero() ? demand.latencyTarget : defaultLatencyTarget;
+    Duration wait = std::max(scaled(target - idleFirstByte, maxWaitFraction), scaled(target, minWaitFraction));
+    bool isRetry = demand.timeLeft < scaled(demand.timeout, firstAttemptFraction);
+    if (isRetry)
+        wait = scaled(wait, retryWaitFraction);
+    return demand.hasMoreUrgent ? scaled(wait, lessUrgentFraction) : wait;
 }
 
-milliseconds ReturnSchedule::book(Duration work, milliseconds longest, TimePoint now, Random& random)
+milliseconds RetryAfterSchedule::bookRetry(Duration work, milliseconds maxDelay, TimePoint now, Random& random)
 {
-    m_next = std::max(m_next, now + shortestReturn) + partOf(work, 1 / partForReturns);
+    m_next = std::max(m_next, now + minRetryAfter) + scaled(work, 1 / retryCapacityFraction);
     auto wait = std::chrono::duration_cast<milliseconds>(m_next - now);
-    if (wait <= longest)
+    if (wait <= maxDelay)
         return wait;
-    // More are refused than can be served before their clients leave: these share
-    // what is left of the time.
-    m_next = now + longest;
-    return std::max(shortestReturn, std::chrono::duration_cast<milliseconds>(partOf(longest, (4 + random.unit()) / 5)));
+    // More clients are refused than can be served before they time out. Spreads
+    // them at random over the last fifth of the longest wait.
+    m_next = now + maxDelay;
+    return std::max(minRetryAfter, std::chrono::duration_cast<milliseconds>(scaled(maxDelay, (4 + random.unit()) / 5)));
 }
 
 } // namespace catkinwing
--- a/lib/Ingress/EndpointTableChoice.cpp
+++ b/lib/Ingress/EndpointTableChoice.cpp
@@ -1,4 +1,4 @@
-// What a request would meet at each endpoint, and the choice of one.
+// Prediction of the wait at each endpoint, and the choice of an endpoint.
 #include "catkinwing/Ingress/EndpointTable.h"
 
 #include <algorithm>
@@ -8,154 +8,155 @@
 
 using std::chrono::milliseconds;
 
-/// No request is taken for less work than this.
-static constexpr double leastWorkSeconds = 0.001;
+/// Lower bound of the estimated work of a request.
+static constexpr double minWorkSeconds = 0.001;
 
-EndpointWork EndpointTable::workOf(const RoutedEndpoint& endpoint) const
+EndpointWork EndpointTable::pendingWork(const RoutedEndpoint& endpoint) const
 {
-    EndpointWorkload others = m_peerLoads.at(endpoint.hash);
+    EndpointWorkload others = m_peerLoads.sumFor(endpoint.hash);
     EndpointWork work;
-    work.requests = endpoint.inFlight + others.requests;
-    work.unreadKilotokens = static_cast<double>(endpoint.unreadTokens) / tokensPerKilotoken + others.unreadKilotokens;
+    work.requests = endpoint.requestsInFlight + others.requests;
+    work.unprefilledKilotokens = static_cast<double>(endpoint.unprefilledTokens) / tokensPerKilotoken + others.unreadKilotokens;
     return work;
 }
 
-AnswerEstimate EndpointTable::answersOf(const RoutedEndpoint& endpoint, TimePoint now)
+ResponseEstimate EndpointTable::responseEstimateOf(const RoutedEndpoint& endpoint, TimePoint now)
 {
-    return estimateAnswers(endpoint.answerTimes, estimateAnswers(*endpoint.serviceTimes, usualAnswers(), now), now);
+    return estimateResponses(endpoint.responseTimes, estimateResponses(*endpoint.serviceResponseTimes, defaultResponseEstimate(), now), now);
 }
 
-void EndpointTable::noteFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now)
+void EndpointTable::recordFirstByte(RoutedEndpoint& endpoint, double kilotokens, Duration took, TimePoint now)
 {
-    learnFirstByte(endpoint.answerTimes, kilotokens, took, now);
-    learnFirstByte(*endpoint.serviceTimes, kilotokens, took, now);
+    addFirstByteSample(endpoint.responseTimes, kilotokens, took, now);
+    addFirstByteSample(*endpoint.serviceResponseTimes, kilotokens, took, now);
 }
 
-void EndpointTable::noteHeld(RoutedEndpoint& endpoint, Duration held, TimePoint now)
+void EndpointTable::recordSlotTime(RoutedEndpoint& endpoint, Duration held, TimePoint now)
 {
-    learnHeld(endpoint.answerTimes, held, now);
-    learnHeld(*endpoint.serviceTimes, held, now);
+    addSlotTimeSample(endpoint.responseTimes, held, now);
+    addSlotTimeSample(*endpoint.serviceResponseTimes, held, now);
 }
 
-void EndpointTable::noteEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now)
+void EndpointTable::recordEvents(RoutedEndpoint& endpoint, std::size_t events, Duration pause, TimePoint now)
 {
-    learnEvents(endpoint.answerTimes, events, pause, now);
-    learnEvents(*endpoint.serviceTimes, events, pause, now);
+    addEventSample(endpoint.responseTimes, events, pause, now);
+    addEventSample(*endpoint.serviceResponseTimes, events, pause, now);
 }
 
-Duration EndpointTable::waitAt(const RoutedEndpoint& endpoint, const AnswerEstimate& estimate, const EndpointWork& work, const ServiceSettings& service)
+Duration EndpointTable::predictedWait(const RoutedEndpoint& endpoint, const ResponseEstimate& estimate, const EndpointWork& work, const ServiceSettings& service)
 {
     unsigned slots = endpoint.record.slots > 0 ? endpoint.record.slots : service.slots;
     return predictWait(estimate, work, slots);
 }
 
-// A request beside which another runs is slowed as by half a thousand tokens
-// that were read before it.
+// Number of concurrent requests that delay a request as much as the prefill of a thousand
+// tokens ahead of it.
 static constexpr double requestsPerKilotoken = 2;
 
 EndpointCandidate EndpointTable::candidateOf(const RoutedEndpoint& endpoint, const EndpointRequest& request, TimePoint now) const
 {
-    EndpointWork work = workOf(endpoint);
+    EndpointWork work = pendingWork(endpoint);
     EndpointCandidate candidate;
     candidate.incarnation = endpoint.record.incarnation;
-    AnswerEstimate answers = answersOf(endpoint, now);
-    candidate.wait = waitAt(endpoint, answers, work, *request.service);
-    candidate.load = candidate.wait + std::chrono::duration_cast<Duration>(timePerKilotoken(answers) * (work.requests / requestsPerKilotoken))
-        + std::chrono::duration_cast<Duration>(timePerEvent(answers) * request.events);
+    ResponseEstimate estimate = responseEstimateOf(endpoint, now);
+    candidate.wait = predictedWait(endpoint, estimate, work, *request.service);
+    candidate.load = candidate.wait + std::chrono::duration_cast<Duration>(timePerKilotoken(estimate) * (work.requests / requestsPerKilotoken))
+        + std::chrono::duration_cast<Duration>(timePerEvent(estimate) * request.expectedEvents);
     candidate.isSuspect = isSuspect(endpoint, now);
-    candidate.isTooBusy = request.demand && candidate.wait > longestWait(*request.demand, idleFirstByte(answers));
+    candidate.isTooBusy = request.demand && candidate.wait > maxQueueWait(*request.demand, idleFirstByte(estimate));
     return candidate;
 }
 
-// The connections that an endpoint takes are divided among the entries of the region.
-bool EndpointTable::hasRoom(const RoutedEndpoint& endpoint, const ServiceSettings& service) const
+// Divides the connections that an endpoint accepts among the entries of the region.
+bool EndpointTable::hasFreeConnection(const RoutedEndpoint& endpoint, const ServiceSettings& service) const
 {
     if (service.maxConnections == 0)
         return true;
     std::size_t share = std::max<std::size_t>(service.maxConnections / std::max<std::size_t>(m_entriesOfRegion.size(), 1), 1);
-    return endpoint.inFlight < share;
+    return endpoint.requestsInFlight < share;
 }
 
-bool EndpointTable::tryTakeCold(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const
+bool EndpointTable::tryTakeColdToken(RoutedEndpoint& endpoint, const ServiceSettings& service, TimePoint now) const
 {
     if (now >= endpoint.coldUntil || service.coldRequestsPerSecond <= 0) {
-        endpoint.coldRate.reset();
+        endpoint.coldRateLimit.reset();
         return true;
     }
-    SharedRate whole = m_coldTolerance;
-    whole.perSecond = service.coldRequestsPerSecond;
-    RateShare share = divideRate(m_entriesOfRegion, m_self, endpoint.record.incarnation, whole);
+    SharedRate totalRate = m_coldTolerance;
+    totalRate.perSecond = service.coldRequestsPerSecond;
+    RateShare share = divideRate(m_entriesOfRegion, m_ownName, endpoint.record.incarnation, totalRate);
     if (share.burst <= 0)
         return false;
     TokenRate rate { share.perSecond, share.burst };
-    if (!endpoint.coldRate)
-        endpoint.coldRate.emplace(rate, now);
-    endpoint.coldRate->setRate(rate, now);
-    return endpoint.coldRate->tryTake(1, now);
+    if (!endpoint.coldRateLimit)
+        endpoint.coldRateLimit.emplace(rate, now);
+    endpoint.coldRateLimit->setRate(rate, now);
+    return endpoint.coldRateLimit->tryTake(1, now);
 }
 
 EndpointDemand EndpointTable::demandOf(const EndpointRequest& request)
 {
     EndpointDemand demand;
-    demand.sharedPart = request.sharedPart;
-    AnswerEstimate usual = usualAnswers();
-    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(usual) * (static_cast<double>(request.sharedTokens) / tokensPerKilotoken));
+    demand.sharedSegment = request.sharedSegment;
+    ResponseEstimate defaults = defaultResponseEstimate();
+    demand.prefillTime = std::chrono::duration_cast<Duration>(timePerKilotoken(defaults) * (static_cast<double>(request.sharedTokens) / tokensPerKilotoken));
     if (request.demand)
-        demand.longestWait = longestWait(*request.demand, idleFirstByte(usual));
+        demand.maxWait = maxQueueWait(*request.demand, idleFirstByte(defaults));
     return demand;
 }
 
 std::shared_ptr<RoutedEndpoint> EndpointTable::choose(const EndpointRequest& request, TimePoint now, Random& random)
 {
-    auto found = m_ofService.find(request.service->name);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(request.service->name);
+    if (found == m_endpointsByService.end())
         return nullptr;
-    m_partHolders.setMemory(request.service->memoryTokens);
+    m_segmentHolders.setCacheSize(request.service->memoryTokens);
     const Endpoints& endpoints = found->second;
-    std::uint32_t part = partHash(request.sharedPart);
+    std::uint32_t segment = segmentHash(request.sharedSegment);
     std::vector<EndpointCandidate> candidates;
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
         const RoutedEndpoint& endpoint = *endpoints[i];
-        if (endpoint.region != m_region || !isOpen(endpoint, now) || !hasRoom(endpoint, *request.service))
+        if (endpoint.region != m_region || !isAvailable(endpoint, now) || !hasFreeConnection(endpoint, *request.service))
             continue;
-        const std::vector<std::string>& tried = *request.tried;
+        const std::vector<std::string>& tried = *request.attemptedIncarnations;
         bool wasTried = std::find(tried.begin(), tried.end(), endpoint.record.incarnation) != tried.end();
-        if (wasTried && !request.mayBeTried)
+        if (wasTried && !request.allowsAttempted)
             continue;
         EndpointCandidate candidate = candidateOf(endpoint, request, now);
-        candidate.holdsPart = !request.sharedPart.empty() && m_partHolders.holds(endpoint.hash, part);
+        candidate.cachesSegment = !request.sharedSegment.empty() && m_segmentHolders.holds(endpoint.hash, segment);
         candidate.index = i;
         candidate.isSuspect |= wasTried;
         candidates.push_back(candidate);
     }
     EndpointDemand demand = demandOf(request);
     while (std::optional<std::size_t> index = chooseEndpoint(candidates, demand, random)) {
-        if (tryTakeCold(*endpoints[*index], *request.service, now))
+        if (tryTakeColdToken(*endpoints[*index], *request.service, now))
             return endpoints[*index];
         candidates.erase(std::find_if(candidates.begin(), candidates.end(), [&](const auto& candidate) { return candidate.index == *index; }));
     }
     return nullptr;
 }
 
-// Requests go to one of those that are less busy, so that half counts.
+// Averages the waits over the less busy half of the endpoints, since requests are sent to
+// endpoints of that half.
 ServiceOutlook EndpointTable::outlook(const ServiceSettings& service, TimePoint now) const
 {
     ServiceOutlook outlook;
     outlook.service = serviceHash(service.name);
-    auto found = m_ofService.find(service.name);
-    if (found == m_ofService.end())
+    auto found = m_endpointsByService.find(service.name);
+    if (found == m_endpointsByService.end())
         return outlook;
     std::vector<Duration> waits;
-    Duration reading { 0 };
+    Duration prefill { 0 };
     Duration events { 0 };
     for (const auto& endpoint : found->second) {
         bool isCold = now < endpoint->coldUntil && service.coldRequestsPerSecond > 0;
-        if (endpoint->region != m_region || !isOpen(*endpoint, now) || isCold || isSuspect(*endpoint, now))
+        if (endpoint->region != m_region || !isAvailable(*endpoint, now) || isCold || isSuspect(*endpoint, now))
             continue;
-        AnswerEstimate answers = answersOf(*endpoint, now);
-        waits.push_back(waitAt(*endpoint, answers, workOf(*endpoint), service));
-        reading += timePerKilotoken(answers);
-        events += timePerEvent(answers);
+        ResponseEstimate estimate = responseEstimateOf(*endpoint, now);
+        waits.push_back(predictedWait(*endpoint, estimate, pendingWork(*endpoint), service));
+        prefill += timePerKilotoken(estimate);
+        events += timePerEvent(estimate);
     }
     if (waits.empty())
         return outlook;
@@ -164,26 +165,26 @@
     Duration sum = std::accumulate(waits.begin(), waits.begin() + static_cast<std::ptrdiff_t>(half), Duration::zero());
     outlook.endpoints = static_cast<std::uint32_t>(waits.size());
     outlook.wait = std::chrono::duration_cast<milliseconds>(sum / half);
-    outlook.perKilotoken = std::chrono::duration_cast<std::chrono::microseconds>(reading / waits.size());
+    outlook.perKilotoken = std::chrono::duration_cast<std::chrono::microseconds>(prefill / waits.size());
     outlook.perEvent = std::chrono::duration_cast<std::chrono::microseconds>(events / waits.size());
     return outlook;
 }
 
-// An endpoint is busy with a request for the time of reading its prompt, or for
-// its part of the time that a slot is held, whichever is longer.
-Duration EndpointTable::workPerRequest(absl::string_view service, std::int64_t promptTokens, TimePoint now) const
+// The work of a request at an endpoint is the prefill time of its prompt or the time that it
+// occupies a slot divided by the number of slots, whichever is longer.
+Duration EndpointTable::requestInterval(absl::string_view service, std::int64_t promptTokens, TimePoint now) const
 {
-    auto found = m_ofService.find(service);
+    auto found = m_endpointsByService.find(service);
     double perSecond = 0;
-    if (found == m_ofService.end())
+    if (found == m_endpointsByService.end())
         return Duration::zero();
     for (const auto& endpoint : found->second) {
         if (endpoint->region != m_region || !isUsable(*endpoint))
             continue;
-        AnswerEstimate answers = answersOf(*endpoint, now);
-        double reading = answers.secondsPerKilotoken * static_cast<double>(promptTokens) / tokensPerKilotoken;
-        double holding = answers.heldSeconds / std::max(endpoint->record.slots, 1u);
-        perSecond += 1 / std::max({ reading, holding, leastWorkSeconds });
+        ResponseEstimate estimate = responseEstimateOf(*endpoint, now);
+        double prefill = estimate.secondsPerKilotoken * static_cast<double>(promptTokens) / tokensPerKilotoken;
+        double slotTime = estimate.slotSeconds / std::max(endpoint->record.slots, 1u);
+        perSecond += 1 / std::max({ prefill, slotTime, minWorkSeconds });
     }
     if (perSecond <= 0)
         return Duration::zero();
--- a/lib/Ingress/EntryTable.cpp
+++ b/lib/Ingress/EntryTable.cpp
@@ -9,21 +9,22 @@
 
 namespace catkinwing {
 
-/// An entry that stops as planned still takes what comes for this long.
-static constexpr std::chrono::milliseconds stopTime { 2'500 };
-/// An entry that the store turned away is forwarded to for this long, where no
-/// other is left; longer than such troubles usually last.
-static constexpr std::chrono::milliseconds departedKept { 15'000 };
-/// How long an entry that didn't answer a forward is passed over.
-static constexpr std::chrono::milliseconds peerSuspicion { 1'000 };
+/// Time for which an entry that is shutting down still accepts requests after its
+/// registration was removed.
+static constexpr std::chrono::milliseconds shutdownTime { 2'500 };
+/// Time for which requests are still forwarded to an entry whose registration was removed, if
+/// no other entry is left. Longer than outages of the store usually last.
+static constexpr std::chrono::milliseconds departedRetention { 15'000 };
+/// Time for which an entry that did not answer a forwarded request is skipped.
+static constexpr std::chrono::milliseconds peerSuspectTime { 1'000 };
 
 std::string writeEntryRecord(const EntryRecord& record)
 {
     nlohmann::json json = {
         { "region", record.region },
         { "zone", record.availabilityZone },
-        { "clients", record.clients.toString() },
-        { "peers", record.peers.toString() },
+        { "clients", record.clientAddress.toString() },
+        { "peers", record.peerAddress.toString() },
     };
     return json.dump();
 }
@@ -33,7 +34,7 @@
     std::size_t end = text.rfind('}');
     auto json = nlohmann::json::parse(text.substr(0, end == absl::string_view::npos ? 0 : end + 1), nullptr, false);
     if (!json.is_object())
-        return absl::InvalidArgumentError("registration of an entry is not a JSON object");
+        return absl::InvalidArgumentError("entry registration is not a JSON object");
     auto member = [&](const char* name) { return json.contains(name) && json[name].is_string() ? json[name].get<std::string>() : std::string(); };
     absl::StatusOr<SocketAddress> clients = parseSocketAddress(member("clients"));
     absl::StatusOr<SocketAddress> peers = parseSocketAddress(member("peers"));
@@ -55,27 +56,27 @@
     if (isNew)
         logChange(LogLevel::Info, "entry_added", { { "entry", key }, { "zone", record.availabilityZone }, { "entries", m_entries.size() + 1 } });
     m_entries[key] = Entry { std::move(record), false };
-    ++m_changes;
+    ++m_changeCount;
 }
 
-// An entry that has started again has two registrations for a while.
-std::size_t EntryTable::recentSize(TimePoint now)
+// Counts addresses because a restarted entry has two registrations until its old lease expires.
+std::size_t EntryTable::recentMaxAddresses(TimePoint now)
 {
-    if (m_countedChanges != m_changes) {
+    if (m_addressCountVersion != m_changeCount) {
         std::set<SocketAddress> addresses;
         for (const auto& [key, entry] : m_entries)
-            addresses.insert(entry.record.peers);
-        m_addresses = addresses.size();
-        m_countedChanges = m_changes;
+            addresses.insert(entry.record.peerAddress);
+        m_addressCount = addresses.size();
+        m_addressCountVersion = m_changeCount;
     }
-    return m_recentSize.take(m_addresses, now);
+    return m_recentSize.take(m_addressCount, now);
 }
 
 EntryOrder EntryTable::orderFor(std::uint64_t subject, const std::vector<std::string>& regions) const
 {
-    std::uint64_t own = stableHash(m_self.peers.toString(), subject);
+    std::uint64_t own = stableHash(m_self.peerAddress.toString(), subject);
     EntryOrder order;
-    for (const Neighbor& neighbor : others()) {
+    for (const Neighbor& neighbor : otherEntries()) {
         if (!regions.empty() && std::count(regions.begin(), regions.end(), neighbor.region) == 0)
             continue;
         ++order.entries;
@@ -86,18 +87,18 @@
 
 void EntryTable::remove(const std::string& key, TimePoint now)
 {
-    recentSize(now);
-    auto isOver = [now](const Departed& departed) { return now - departed.at > departedKept; };
-    m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isOver), m_departed.end());
+    recentMaxAddresses(now);
+    auto isExpired = [now](const Departed& departed) { return now - departed.removedAt > departedRetention; };
+    m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isExpired), m_departed.end());
     auto found = m_entries.find(key);
     if (found != m_entries.end())
         m_departed.push_back({ found->second.record, now });
-    ++m_changes;
+    ++m_changeCount;
     if (m_entries.erase(key) > 0)
         logChange(LogLevel::Info, "entry_removed", { { "entry", key }, { "entries", m_entries.size() } });
 }
 
-void EntryTable::noteMissing(const std::string& key)
+void EntryTable::recordMissing(const std::string& key)
 {
     auto found = m_entries.find(key);
     if (found != m_entries.end())
@@ -106,12 +107,12 @@
 
 void EntryTable::removeMissing(TimePoint now)
 {
-    std::vector<std::string> gone;
+    std::vector<std::string> missing;
     for (const auto& [key, entry] : m_entries) {
         if (entry.isMissing)
-            gone.push_back(key);
+            missing.push_back(key);
     }
-    for (const std::string& key : gone)
+    for (const std::string& key : missing)
         remove(key, now);
 }
 
@@ -135,22 +136,22 @@
     std::vector<SocketAddress> all;
     for (const auto& [key, entry] : m_entries) {
         const EntryRecord& record = entry.record;
-        addOnce(all, record.clients);
+        addOnce(all, record.clientAddress);
         if (record.region == region)
-            addOnce(ofRegion, record.clients);
+            addOnce(ofRegion, record.clientAddress);
         if (contains(homes.regions, record.region))
-            addOnce(ofHomes, record.clients);
+            addOnce(ofHomes, record.clientAddress);
         if (record.availabilityZone == availabilityZone)
-            addOnce(ofZone, record.clients);
+            addOnce(ofZone, record.clientAddress);
     }
     for (const Departed& departed : m_departed) {
         bool isAllowed = departed.record.region == region || contains(homes.regions, departed.record.region);
-        if (isAllowed && !homes.regions.empty() && now - departed.at <= stopTime)
-            addOnce(leaving, departed.record.clients);
+        if (isAllowed && !homes.regions.empty() && now - departed.removedAt <= shutdownTime)
+            addOnce(leaving, departed.record.clientAddress);
     }
-    for (std::vector<SocketAddress>* best : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
-        if (!best->empty())
-            return std::move(*best);
+    for (std::vector<SocketAddress>* group : { &ofZone, &ofRegion, &ofHomes, &leaving }) {
+        if (!group->empty())
+            return std::move(*group);
     }
     if (homes.bindsAll)
         all.clear();
@@ -159,37 +160,37 @@
 
 std::optional<SocketAddress> EntryTable::choosePeer(const std::string& region, TimePoint now, Random& random) const
 {
-    std::vector<SocketAddress> sound;
+    std::vector<SocketAddress> candidates;
     for (const auto& [key, entry] : m_entries) {
-        const SocketAddress& peer = entry.record.peers;
+        const SocketAddress& peer = entry.record.peerAddress;
         auto suspect = m_suspectUntil.find(peer);
         bool isSuspect = suspect != m_suspectUntil.end() && now < suspect->second;
-        if (entry.record.region == region && peer != m_self.peers && !isSuspect)
-            addOnce(sound, peer);
+        if (entry.record.region == region && peer != m_self.peerAddress && !isSuspect)
+            addOnce(candidates, peer);
     }
-    if (sound.empty())
+    if (candidates.empty())
         return std::nullopt;
-    return sound[random.below(sound.size())];
+    return candidates[random.below(candidates.size())];
 }
 
 std::optional<SocketAddress> EntryTable::chooseDepartedPeer(const std::string& region, TimePoint now, Random& random) const
 {
     std::vector<SocketAddress> peers;
     for (const Departed& departed : m_departed) {
-        if (departed.record.region == region && now - departed.at <= departedKept)
-            addOnce(peers, departed.record.peers);
+        if (departed.record.region == region && now - departed.removedAt <= departedRetention)
+            addOnce(peers, departed.record.peerAddress);
     }
     if (peers.empty())
         return std::nullopt;
     return peers[random.below(peers.size())];
 }
 
-std::vector<SocketAddress> EntryTable::peersOf(const std::string& region) const
+std::vector<SocketAddress> EntryTable::peerAddresses(const std::string& region) const
 {
     std::vector<SocketAddress> peers;
     for (const auto& [key, entry] : m_entries) {
-        if (entry.record.region == region && entry.record.peers != m_self.peers)
-            addOnce(peers, entry.record.peers);
+        if (entry.record.region == region && entry.record.peerAddress != m_self.peerAddress)
+            addOnce(peers, entry.record.peerAddress);
     }
     return peers;
 }
@@ -203,22 +204,22 @@
     return { regions.begin(), regions.end() };
 }
 
-void EntryTable::notePeerFailure(const SocketAddress& peer, TimePoint now)
+void EntryTable::recordPeerFailure(const SocketAddress& peer, TimePoint now)
 {
-    m_suspectUntil[peer] = now + peerSuspicion;
-    auto isPeer = [&peer](const Departed& departed) { return departed.record.peers == peer; };
+    m_suspectUntil[peer] = now + peerSuspectTime;
+    auto isPeer = [&peer](const Departed& departed) { return departed.record.peerAddress == peer; };
     m_departed.erase(std::remove_if(m_departed.begin(), m_departed.end(), isPeer), m_departed.end());
     logChange(LogLevel::Warning, "entry_suspect", { { "entry", peer.toString() } });
 }
 
-// An entry that started again stands under its old key as well until the old
-// lease lapses; keys sort by name, and either will do.
+// A restarted entry is also registered under its old key until the old lease expires. The last
+// key in the order of names is returned for such an entry; both keys are suitable.
 std::vector<EntryTable::Peer> EntryTable::entriesOfRegion(const std::string& region) const
 {
     std::map<SocketAddress, Peer> byAddress;
     for (const auto& [key, entry] : m_entries) {
         if (entry.record.region == region)
-            byAddress[entry.record.peers] = { { key, entry.record.availabilityZone }, entry.record.peers };
+            byAddress[entry.record.peerAddress] = { { key, entry.record.availabilityZone }, entry.record.peerAddress };
     }
     std::vector<Peer> peers;
     peers.reserve(byAddress.size());
@@ -227,12 +228,12 @@
     return peers;
 }
 
-std::vector<EntryTable::Neighbor> EntryTable::others() const
+std::vector<EntryTable::Neighbor> EntryTable::otherEntries() const
 {
     std::map<SocketAddress, Neighbor> byAddress;
     for (const auto& [key, entry] : m_entries) {
-        if (entry.record.peers != m_self.peers)
-            byAddress[entry.record.peers] = { key, entry.record.region, entry.record.peers };
+        if (entry.record.peerAddress != m_self.peerAddress)
+            byAddress[entry.record.peerAddress] = { key, entry.record.region, entry.record.peerAddress };
     }
     std::vector<Neighbor> neighbors;
     neighbors.reserve(byAddress.size());
@@ -249,11 +250,11 @@
     return keys;
 }
 
-std::optional<SocketAddress> EntryTable::relay(const std::string& self, TimePoint now) const
+std::optional<SocketAddress> EntryTable::relayAddress(const std::string& self, TimePoint now) const
 {
     std::vector<std::string> candidates;
     for (const auto& [key, entry] : m_entries) {
-        auto suspect = m_suspectUntil.find(entry.record.peers);
+        auto suspect = m_suspectUntil.find(entry.record.peerAddress);
         bool isSuspect = suspect != m_suspectUntil.end() && now < suspect->second;
         if (entry.record.availabilityZone == m_self.availabilityZone && !isSuspect)
             candidates.push_back(key);
@@ -261,8 +262,8 @@
     std::string chosen = chooseDelegate(candidates, "relay");
     if (chosen.empty() || chosen == self)
         return std::nullopt;
-    const SocketAddress& peer = m_entries.at(chosen).record.peers;
-    if (peer == m_self.peers)
+    const SocketAddress& peer = m_entries.at(chosen).record.peerAddress;
+    if (peer == m_self.peerAddress)
         return std::nullopt;
     return peer;
 }
--- a/lib/Ingress/RoutedRun.cpp
+++ b/lib/Ingress/RoutedRun.cpp
@@ -12,37 +12,41 @@
 static constexpr int statusNotFound = 404;
 static constexpr int statusBadGateway = 502;
 static constexpr int statusUnavailable = 503;
-/// Part of the retries beyond the ratio that entries give out. The rest is for
-/// entries that start again, and for parts of a cut system that don't know of each other.
-static constexpr double slackPart = 0.5;
-/// The same until a window has passed since an entry's start, so that the first
-/// refusals can be tried elsewhere. The process before may have used its own part in
-/// that window.
-static constexpr double slackPartAtStart = 0.2;
-/// A connection inside the region takes a few milliseconds; one that takes
-/// longer than this goes to an endpoint that is gone or cut off.
+/// Share of the retry allowance that the entries use. The rest is a reserve
+/// for restarted entries and for partitions in which entries don't see each other.
+static constexpr double allowanceShare = 0.5;
+/// The same share in the first window after an entry's start, so that its first
+/// refused requests can be retried elsewhere. It is smaller because the previous
+/// process may have used its own share in that window.
+static constexpr double allowanceShareAtStart = 0.2;
+/// A connection inside the region takes a few milliseconds; if one takes longer
+/// than this, the endpoint has stopped or is unreachable.
 static constexpr milliseconds endpointConnectTimeout { 400 };
 /// Regions are some 55 ms apart, so a connection takes 110 ms and more.
 static constexpr milliseconds peerConnectTimeout { 700 };
-/// What a forward adds to the first event: the way there and back.
-static constexpr milliseconds regionCrossing { 115 };
-/// The exchange's own timeouts come after the run's, which decides.
+/// Round-trip time that forwarding to another region adds to the first event.
+static constexpr milliseconds regionRoundTrip { 115 };
+/// The timeouts of the HTTP exchange fire this long after the deadline of the
+/// request, so that the deadline decides the outcome.
 static constexpr milliseconds exchangeMargin { 500 };
-/// Told to endpoints less than is left, so that their answer is here in time.
+/// The deadline sent to endpoints is this much shorter than the time left, so that
+/// their answer arrives in time.
 static constexpr milliseconds deadlineMargin { 10 };
-/// A shared part below this many tokens is read in a few milliseconds and
-/// doesn't bind a request to an endpoint.
+/// A shared segment of fewer tokens is read in a few milliseconds and doesn't
+/// affect the choice of the endpoint.
 static constexpr std::int64_t minSharedTokens = 1'000;
-/// Owners in a region that refuses more than this leaves are passed over. Short
-/// requests are refused long before long ones suffer, and a part that is read
-/// elsewhere pushes others out there.
-static constexpr double leastOwnerReadiness = 0.3;
-/// An entry that stops takes every request for this long, since clients still
-/// hold answers of the directory that name it and most requests end long before
-/// their deadline; later it takes those that surely end before it does.
-static constexpr milliseconds takeAllWhileStopping { 3'000 };
-/// A route's priorities begin with zero, the most urgent, like an endpoint's.
-static constexpr int leastUrgent = 9;
+/// A request is forwarded to a region that keeps its shared segment but has no recent
+/// load report only if the acceptance of the region is above this. The limit is low because a region
+/// refuses short requests long before long ones are affected, and because a segment
+/// that is read in another region evicts others there.
+static constexpr double minOwnerAcceptance = 0.3;
+/// A stopping entry accepts every request for this long, since clients still hold
+/// directory answers that name it and most requests end long before their deadline.
+/// Afterwards the entry accepts only requests whose deadline is no later than the end
+/// of its planned stop.
+static constexpr milliseconds acceptAllWhileStopping { 3'000 };
+/// Priorities of routes and endpoints start at zero, the most urgent.
+static constexpr int leastUrgentPriority = 9;
 
 void readForwardHeaders(const HttpHeaders& headers, RoutedRequest& request)
 {
@@ -50,36 +54,36 @@
     const std::string* text = headers.find(attemptsLeftHeader);
     if (text && absl::SimpleAtoi(*text, &attemptsLeft))
         request.attemptsLeft = attemptsLeft;
-    text = headers.find(earlierArrivalsHeader);
-    if (text && !absl::SimpleAtoi(*text, &request.earlierArrivals))
-        request.earlierArrivals = 0;
+    text = headers.find(earlierAttemptsHeader);
+    if (text && !absl::SimpleAtoi(*text, &request.earlierAttempts))
+        request.earlierAttempts = 0;
 }
 
-RetryWindow& IngressParts::retryBudgetOf(const std::string& service)
+RetryWindow& IngressContext::retryBudgetOf(const std::string& service)
 {
     TimePoint now = scheduler.clock().now();
-    double part = now - startedAt < retryLimits.window ? slackPartAtStart : slackPart;
-    std::size_t sharers = std::max<std::size_t>(entries.recentSize(now), 1);
+    double share = now - startedAt < retryLimits.window ? allowanceShareAtStart : allowanceShare;
+    std::size_t entryCount = std::max<std::size_t>(entries.recentMaxAddresses(now), 1);
     auto found = retryBudgets.find(service);
     if (found == retryBudgets.end())
         found = retryBudgets.emplace(service, RetryWindow(random.unit())).first;
     RetryWindow& budget = found->second;
-    budget.setAllowance({ retryLimits.ratio, retryLimits.slack * part / static_cast<double>(sharers), retryLimits.window });
+    budget.setAllowance({ retryLimits.ratio, retryLimits.allowance * share / static_cast<double>(entryCount), retryLimits.window });
     return budget;
 }
 
-RoutedRun::RoutedRun(IngressParts& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder)
+RoutedRun::RoutedRun(IngressContext& parts, RoutedRequest request, std::shared_ptr<HttpResponder> responder)
     : m_parts(parts)
     , m_request(std::move(request))
     , m_responder(std::move(responder))
     , m_cursor(m_request.facts.resumeAfter ? absl::make_optional(*m_request.facts.resumeAfter) : absl::nullopt)
 {
-    ++m_parts.openRequests;
+    ++m_parts.openRequestCount;
 }
 
 RoutedRun::~RoutedRun()
 {
-    --m_parts.openRequests;
+    --m_parts.openRequestCount;
 }
 
 void RoutedRun::begin()
@@ -87,31 +91,31 @@
     auto self = shared_from_this();
     m_routes = m_parts.routes;
     if (!m_routes) {
-        answerOwn(statusUnavailable, Outcome::NotRun, "no_configuration");
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "no_configuration");
         return;
     }
     m_route = m_routes->find(m_request.facts.host, m_request.http.path);
     if (!m_route) {
-        answerOwn(statusNotFound, Outcome::NotRun, "no_route");
+        sendOwnAnswer(statusNotFound, Outcome::NotRun, "no_route");
         return;
     }
     milliseconds allowed = m_route->timeout;
     if (m_request.facts.timeLeft)
         allowed = std::min(allowed, *m_request.facts.timeLeft);
     m_deadline = m_request.arrivedAt + allowed;
-    if (!endsBeforeStop()) {
-        answerOwn(statusUnavailable, Outcome::NotRun, "stopping");
+    if (!canRunBeforeStop()) {
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "stopping");
         return;
     }
-    m_deadlineTimer = m_parts.scheduler.callAfter(m_deadline - now(), [self] { self->deadlinePassed(); });
-    m_responder->onClosed([self] { self->clientGone(); });
+    m_deadlineTimer = m_parts.scheduler.callAfter(m_deadline - now(), [self] { self->onDeadline(); });
+    m_responder->onClosed([self] { self->onClientClosed(); });
     if (!m_responder->isOpen()) {
-        clientGone();
+        onClientClosed();
         return;
     }
     m_service = pickService();
     if (!m_request.isForwarded)
-        m_parts.retryBudgetOf(m_service).noteRequest(now());
+        m_parts.retryBudgetOf(m_service).recordRequest(now());
     dispatch();
 }
 
@@ -120,10 +124,10 @@
     return std::chrono::duration_cast<milliseconds>(m_deadline - now());
 }
 
-bool RoutedRun::endsBeforeStop() const
+bool RoutedRun::canRunBeforeStop() const
 {
-    const std::optional<PlannedStop>& stop = m_parts.stop;
-    return !stop || m_request.arrivedAt - stop->began <= takeAllWhileStopping || m_deadline <= stop->endsBy;
+    const std::optional<PlannedStop>& stop = m_parts.plannedStop;
+    return !stop || m_request.arrivedAt - stop->startedAt <= acceptAllWhileStopping || m_deadline <= stop->abortAt;
 }
 
 bool RoutedRun::isAllowedHere() const
@@ -132,13 +136,13 @@
     return homes.empty() || std::find(homes.begin(), homes.end(), m_parts.region) != homes.end();
 }
 
-// The last part belongs to the request itself or to its session.
-const PromptPart* RoutedRun::sharedPart() const
+// The last segment belongs to the request itself or to its session and isn't shared.
+const PromptSegment* RoutedRun::sharedSegment() const
 {
-    const std::vector<PromptPart>& prompt = m_request.facts.prompt;
+    const std::vector<PromptSegment>& prompt = m_request.facts.prompt;
     if (!m_route->hasPromptAffinity || prompt.size() < 2)
         return nullptr;
-    const PromptPart* largest = &prompt.front();
+    const PromptSegment* largest = &prompt.front();
     for (std::size_t i = 0; i + 1 < prompt.size(); ++i) {
         if (prompt[i].tokens > largest->tokens)
             largest = &prompt[i];
@@ -161,9 +165,9 @@
     return services.back().service;
 }
 
-WaitDemand RoutedRun::waitDemand() const
+WaitLimitInputs RoutedRun::waitDemand() const
 {
-    WaitDemand demand;
+    WaitLimitInputs demand;
     demand.timeout = m_route->timeout;
     demand.timeLeft = timeLeft();
     const std::vector<UrgencyLevel>& levels = m_routes->urgenciesOf(m_service);
@@ -175,81 +179,82 @@
     return demand;
 }
 
-// An endpoint here goes first, since it is nearest, unless this region refuses
-// much; then another region; then an endpoint that has failed the request but
-// would run it again.
+// Prefers an endpoint of this region, which is the nearest, unless the region refuses
+// many requests. The second choice is another region. The third is an endpoint that was
+// tried before, if the last attempt may have run.
 void RoutedRun::dispatch()
 {
-    if (refuseIfCrashing() || waitIfSuspect() || decideFirst() || sendToPart() || sendAway())
+    if (refuseIfCrashing() || holdIfSuspect() || routeFirstAttempt() || sendToSegmentRegion() || forwardIfOverloaded())
         return;
     if (isAllowedHere() && sendToEndpoint(m_service, false))
         return;
     if (!m_request.isForwarded && sendToRegion(m_service, isAllowedHere() ? "no_endpoint_here" : "homes"))
         return;
-    if (m_lastRan && isAllowedHere() && sendToEndpoint(m_service, true))
+    if (m_mayLastAttemptHaveRun && isAllowedHere() && sendToEndpoint(m_service, true))
         return;
     if (m_failureHead) {
-        answerWhole(*m_failureHead, std::move(m_failureBody));
+        sendAnswer(*m_failureHead, std::move(m_failureBody));
         return;
     }
     if (m_mayHaveRun)
-        answerOwn(statusBadGateway, Outcome::Unknown, "no_endpoint_for_retry");
+        sendOwnAnswer(statusBadGateway, Outcome::Unknown, "no_endpoint_for_retry");
     else
-        answerOwn(statusUnavailable, Outcome::NotRun, "no_endpoint");
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "no_endpoint");
 }
 
-Duration RoutedRun::longestWaitAnywhere() const
+Duration RoutedRun::maxWait() const
 {
-    return longestWait(waitDemand(), idleFirstByte(usualAnswers()));
+    return maxQueueWait(waitDemand(), idleFirstByte(defaultResponseEstimate()));
 }
 
-std::optional<Duration> RoutedRun::waitAway(const std::string& region) const
+std::optional<Duration> RoutedRun::expectedWaitIn(const std::string& region) const
 {
-    return m_parts.outlooks.waitIn(region, m_service, now());
+    return m_parts.outlooks.estimatedWait(region, m_service, now());
 }
 
-bool RoutedRun::decideFirst()
+bool RoutedRun::routeFirstAttempt()
 {
     const ServiceSettings* settings = m_routes->findService(m_service);
-    bool isFirst = m_attempts == 0 && !m_request.isForwarded;
+    bool isFirst = m_attemptCount == 0 && !m_request.isForwarded;
     if (!isFirst || !settings)
         return false;
-    auto lastsAt = [events = likelyEvents()](Duration perEvent) { return std::chrono::duration_cast<Duration>(perEvent * events); };
+    auto durationAt = [events = expectedEvents()](Duration perEvent) { return std::chrono::duration_cast<Duration>(perEvent * events); };
     RegionDemand demand;
-    demand.longestWait = longestWaitAnywhere();
+    demand.maxWait = maxWait();
     if (isAllowedHere()) {
         ServiceOutlook here = m_parts.endpoints.outlook(*settings, now());
         if (here.endpoints > 0)
-            demand.waitHere = here.wait;
-        demand.lastsHere = lastsAt(here.perEvent);
-        demand.mayAskHere = m_parts.endpoints.usableByRegion(m_service, now()).count(m_parts.region) > 0;
+            demand.localWait = here.wait;
+        demand.localResponseDuration = durationAt(here.perEvent);
+        demand.mayAcceptLocally = m_parts.endpoints.usableByRegion(m_service, now()).count(m_parts.region) > 0;
     }
     std::vector<RegionOption> others;
-    for (const auto& [region, endpoints] : otherRegions(m_service))
-        others.push_back({ region, waitAway(region), regionCrossing, lastsAt(m_parts.outlooks.timePerEventIn(region, m_service)) });
+    for (const auto& [region, endpoints] : untriedRegions(m_service))
+        others.push_back({ region, expectedWaitIn(region), regionRoundTrip, durationAt(m_parts.outlooks.timePerEventIn(region, m_service)) });
     RegionChoice choice = chooseRegion(demand, others, m_parts.random);
-    if (choice.verdict == RegionVerdict::Away)
-        return !sharedPart() && sendToEntryOf(choice.region, "shorter_wait");
-    if (choice.verdict == RegionVerdict::Nowhere)
-        answerOwn(statusUnavailable, Outcome::NotRun, "waits_too_long_everywhere");
-    return choice.verdict == RegionVerdict::Nowhere;
+    if (choice.verdict == RegionVerdict::Forward)
+        return !sharedSegment() && sendToEntryIn(choice.region, "shorter_wait");
+    if (choice.verdict == RegionVerdict::Refuse)
+        sendOwnAnswer(statusUnavailable, Outcome::NotRun, "waits_too_long_everywhere");
+    return choice.verdict == RegionVerdict::Refuse;
 }
 
-// An endpoint here that is full says that its like probably are.
-bool RoutedRun::sendAway()
+// If one endpoint of this region refused the request because it is full, the others
+// are probably full as well.
+bool RoutedRun::forwardIfOverloaded()
 {
     if (m_request.isForwarded || !isAllowedHere())
         return false;
-    bool isFirst = m_attempts == 0;
-    bool shouldGo = m_wasRefusedHere || (isFirst && shouldSpill(pressure(), m_parts.region, otherRegions(m_service), now(), m_parts.random));
-    return shouldGo && sendToRegion(m_service, m_wasRefusedHere ? "refused_here" : "region_refuses");
+    bool isFirst = m_attemptCount == 0;
+    bool shouldForward = m_wasRefusedHere || (isFirst && shouldSpill(regionAcceptance(), m_parts.region, untriedRegions(m_service), now(), m_parts.random));
+    return shouldForward && sendToRegion(m_service, m_wasRefusedHere ? "refused_here" : "region_refuses");
 }
 
-static const char* whyHere(bool isSecondTime, bool hasSharedPart)
+static const char* endpointChoiceReason(bool mayBeTried, bool hasSharedSegment)
 {
-    if (isSecondTime)
+    if (mayBeTried)
         return "only_endpoint_left";
-    return hasSharedPart ? "shared_part" : "least_work_of_two";
+    return hasSharedSegment ? "shared_part" : "least_work_of_two";
 }
 
 bool RoutedRun::sendToEndpoint(const std::string& service, bool mayBeTried)
@@ -257,43 +262,44 @@
     const ServiceSettings* settings = m_routes->findService(service);
     if (!settings)
         return false;
-    EndpointRequest wanted;
-    wanted.service = settings;
-    const PromptPart* shared = sharedPart();
-    wanted.sharedPart = shared ? shared->id : std::string();
-    wanted.sharedTokens = shared ? shared->tokens : 0;
-    wanted.events = likelyEvents();
-    wanted.tried = &m_triedEndpoints;
-    wanted.mayBeTried = mayBeTried;
-    // What has run or begun to answer is finished if that is possible at all.
-    WaitDemand demand = waitDemand();
-    wanted.demand = m_mayHaveRun || m_hasHead ? nullptr : &demand;
-    std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(wanted, now(), m_parts.random);
+    EndpointRequest endpointRequest;
+    endpointRequest.service = settings;
+    const PromptSegment* shared = sharedSegment();
+    endpointRequest.sharedSegment = shared ? shared->id : std::string();
+    endpointRequest.sharedTokens = shared ? shared->tokens : 0;
+    endpointRequest.expectedEvents = expectedEvents();
+    endpointRequest.attemptedIncarnations = &m_triedEndpoints;
+    endpointRequest.allowsAttempted = mayBeTried;
+    // A request that may have run or whose answer has begun has no wait limit.
+    WaitLimitInputs demand = waitDemand();
+    endpointRequest.demand = m_mayHaveRun || m_hasSentHead ? nullptr : &demand;
+    std::shared_ptr<RoutedEndpoint> endpoint = m_parts.endpoints.choose(endpointRequest, now(), m_parts.random);
     if (!endpoint)
         return false;
     m_triedEndpoints.push_back(endpoint->record.incarnation);
     AttemptFacts facts;
     facts.incarnation = endpoint->record.incarnation;
-    facts.urgency = std::clamp(m_route->priority, 0, leastUrgent);
+    facts.priority = std::clamp(m_route->priority, 0, leastUrgentPriority);
     HttpClientRequest request = makeRequest(endpoint->record.address, std::move(facts));
     request.connectTimeout = endpointConnectTimeout;
     Attempt attempt;
     attempt.target = AttemptTarget::Endpoint;
     attempt.region = m_parts.region;
-    attempt.why = whyHere(mayBeTried, shared != nullptr);
+    attempt.why = endpointChoiceReason(mayBeTried, shared != nullptr);
     attempt.endpoint = std::move(endpoint);
     unsigned slots = attempt.endpoint->record.slots > 0 ? attempt.endpoint->record.slots : settings->slots;
-    attempt.hadFreeSlot = slots == 0 || m_parts.endpoints.workOf(*attempt.endpoint).requests < slots;
-    m_parts.endpoints.noteBegan(*attempt.endpoint, now());
-    attempt.unreadTokens = m_parts.endpoints.tokensToRead(*attempt.endpoint, m_request.facts.promptTokens, shared ? shared->tokens : 0, wanted.sharedPart, now());
-    attempt.endpoint->unreadTokens += attempt.unreadTokens;
-    attempt.kilotokensBefore = m_parts.endpoints.workOf(*attempt.endpoint).unreadKilotokens;
+    attempt.hadFreeSlot = slots == 0 || m_parts.endpoints.pendingWork(*attempt.endpoint).requests < slots;
+    m_parts.endpoints.recordAttemptStarted(*attempt.endpoint, now());
+    attempt.unreadTokens = m_parts.endpoints.recordSegmentAndGetPrefillTokens(*attempt.endpoint, m_request.facts.promptTokens, shared ? shared->tokens : 0, endpointRequest.sharedSegment, now());
+    attempt.endpoint->unprefilledTokens += attempt.unreadTokens;
+    attempt.unreadKilotokensAtStart = m_parts.endpoints.pendingWork(*attempt.endpoint).unprefilledKilotokens;
     startAttempt(std::move(attempt), std::move(request));
     return true;
 }
 
-// Regions that may have the request and have not had it, with their endpoints.
-std::map<std::string, std::size_t> RoutedRun::otherRegions(const std::string& service) const
+// Returns the other regions that may process the request and haven't been tried, with
+// the number of their usable endpoints.
+std::map<std::string, std::size_t> RoutedRun::untriedRegions(const std::string& service) const
 {
     const std::vector<std::string>& homes = m_route->homeRegions;
     std::map<std::string, std::size_t> regions;
@@ -306,15 +312,16 @@
     return regions;
 }
 
-// What has run or begun to answer goes to any region.
-std::map<std::string, std::size_t> RoutedRun::regionsWithRoom(const std::string& service) const
+// Regions with too long a wait are excluded, unless the request may have run or its
+// answer has begun.
+std::map<std::string, std::size_t> RoutedRun::regionsWithCapacity(const std::string& service) const
 {
-    std::map<std::string, std::size_t> regions = otherRegions(service);
-    if (m_mayHaveRun || m_hasHead)
+    std::map<std::string, std::size_t> regions = untriedRegions(service);
+    if (m_mayHaveRun || m_hasSentHead)
         return regions;
-    Duration longest = longestWaitAnywhere();
+    Duration longest = maxWait();
     for (auto region = regions.begin(); region != regions.end();) {
-        std::optional<Duration> wait = waitAway(region->first);
+        std::optional<Duration> wait = expectedWaitIn(region->first);
         region = wait && *wait > longest ? regions.erase(region) : std::next(region);
     }
     return regions;
@@ -322,76 +329,77 @@
 
 bool RoutedRun::sendToRegion(const std::string& service, const char* why)
 {
-    while (std::optional<std::string> region = chooseSpillRegion(pressure(), regionsWithRoom(service), now(), m_parts.random)) {
-        if (sendToEntryOf(*region, why))
+    while (std::optional<std::string> region = chooseSpillRegion(regionAcceptance(), regionsWithCapacity(service), now(), m_parts.random)) {
+        if (sendToEntryIn(*region, why))
             return true;
     }
     return false;
 }
 
-EndpointDemand RoutedRun::demandFor(const PromptPart& part) const
+EndpointDemand RoutedRun::demandFor(const PromptSegment& segment) const
 {
     EndpointDemand demand;
-    demand.sharedPart = part.id;
-    demand.readingAgain = std::chrono::duration_cast<Duration>(timePerKilotoken(usualAnswers()) * (static_cast<double>(part.tokens) / tokensPerKilotoken));
-    demand.longestWait = longestWaitAnywhere();
+    demand.sharedSegment = segment.id;
+    demand.prefillTime = std::chrono::duration_cast<Duration>(timePerKilotoken(defaultResponseEstimate()) * (static_cast<double>(segment.tokens) / tokensPerKilotoken));
+    demand.maxWait = maxWait();
     return demand;
 }
 
-// What a request with the part would meet in each region that is known and not
-// too busy for it.
-std::vector<PartRegionOption> RoutedRun::regionsFor(const PromptPart& part, const std::optional<std::string>& keeper, const ServiceSettings& settings) const
+// Returns the regions whose expected wait is known and short enough for a request
+// with the segment, this one included.
+std::vector<SegmentRegionOption> RoutedRun::regionOptionsFor(const PromptSegment& segment, const std::optional<std::string>& keeperRegion, const ServiceSettings& settings) const
 {
-    Duration longest = longestWaitForOwner(demandFor(part));
-    std::vector<PartRegionOption> options;
-    auto add = [&](const std::string& region, std::optional<Duration> wait, Duration way, bool isKept) {
+    Duration longest = maxWaitForOwner(demandFor(segment));
+    std::vector<SegmentRegionOption> options;
+    auto add = [&](const std::string& region, std::optional<Duration> wait, Duration roundTrip, bool isKept) {
         if (wait && *wait <= longest)
-            options.push_back({ region, *wait, way, isKept });
+            options.push_back({ region, *wait, roundTrip, isKept });
     };
     if (isAllowedHere()) {
-        std::optional<Duration> ofHolder = m_parts.endpoints.waitForHolder(settings, part.id, now());
+        std::optional<Duration> waitAtHolder = m_parts.endpoints.minWaitForSegment(settings, segment.id, now());
         ServiceOutlook here = m_parts.endpoints.outlook(settings, now());
-        std::optional<Duration> ofAny = here.endpoints > 0 ? std::optional<Duration>(here.wait) : std::nullopt;
-        add(m_parts.region, ofHolder ? ofHolder : ofAny, Duration::zero(), ofHolder || keeper == m_parts.region);
+        std::optional<Duration> waitAnywhere = here.endpoints > 0 ? std::optional<Duration>(here.wait) : std::nullopt;
+        add(m_parts.region, waitAtHolder ? waitAtHolder : waitAnywhere, Duration::zero(), waitAtHolder || keeperRegion == m_parts.region);
     }
-    for (const auto& [region, endpoints] : otherRegions(m_service))
-        add(region, waitAway(region), regionCrossing, keeper == region);
+    for (const auto& [region, endpoints] : untriedRegions(m_service))
+        add(region, expectedWaitIn(region), regionRoundTrip, keeperRegion == region);
     return options;
 }
 
-// A long shared part is read once for all regions: sending the request to where
-// it lies costs a round trip, which is less than reading it again.
-bool RoutedRun::sendToPart()
+// A long shared segment is kept in one region. Forwarding the request to that region
+// costs a round trip, which takes less time than reading the segment again.
+bool RoutedRun::sendToSegmentRegion()
 {
-    if (m_request.isForwarded || m_attempts > 0)
+    if (m_request.isForwarded || m_attemptCount > 0)
         return false;
-    const PromptPart* part = sharedPart();
+    const PromptSegment* segment = sharedSegment();
     const ServiceSettings* settings = m_routes->findService(m_service);
-    if (!part || !settings)
+    if (!segment || !settings)
         return false;
-    std::optional<std::string> keeper = m_parts.endpoints.regionOfPart(m_service, part->id, m_route->homeRegions, now());
-    // A region that says nothing of itself is asked if it doesn't refuse much.
-    bool isUnknown = keeper && *keeper != m_parts.region && !waitAway(*keeper);
+    std::optional<std::string> keeperRegion = m_parts.endpoints.regionOfSegment(m_service, segment->id, m_route->homeRegions, now());
+    // A region without a load report gets the request if its acceptance is high enough.
+    bool isUnknown = keeperRegion && *keeperRegion != m_parts.region && !expectedWaitIn(*keeperRegion);
     if (isUnknown)
-        return pressure().readiness(*keeper, now()) > leastOwnerReadiness && sendToEntryOf(*keeper, "part");
-    std::vector<PartRegionOption> options = regionsFor(*part, keeper, *settings);
-    const PartRegionOption* chosen = choosePartRegion(options, demandFor(*part).readingAgain, m_parts.random);
-    bool goesAway = chosen && chosen->region != m_parts.region;
-    return goesAway && sendToEntryOf(chosen->region, chosen->keepsPart ? "part" : "part_moved");
+        return regionAcceptance().acceptanceOf(*keeperRegion, now()) > minOwnerAcceptance && sendToEntryIn(*keeperRegion, "part");
+    std::vector<SegmentRegionOption> options = regionOptionsFor(*segment, keeperRegion, *settings);
+    const SegmentRegionOption* chosen = chooseSegmentRegion(options, demandFor(*segment).prefillTime, m_parts.random);
+    bool shouldForward = chosen && chosen->region != m_parts.region;
+    return shouldForward && sendToEntryIn(chosen->region, chosen->cachesSegment ? "part" : "part_moved");
 }
 
-bool RoutedRun::sendToEntryOf(const std::string& region, const char* why)
+bool RoutedRun::sendToEntryIn(const std::string& region, const char* why)
 {
     std::optional<SocketAddress> peer = m_parts.entries.choosePeer(region, now(), m_parts.random);
-    // What may not be processed here has nowhere else to go.
+    // A request that may not be processed here can only be served by an entry of another
+    // region. Its registration may have been removed while it still runs.
     if (!peer && !isAllowedHere())
         peer = m_parts.entries.chooseDepartedPeer(region, now(), m_parts.random);
     m_triedRegions.push_back(region);
     if (!peer)
         return false;
     HttpClientRequest request = makeRequest(*peer, {});
-    request.headers.set(attemptsLeftHeader, std::to_string(m_route->attempts - std::min(m_runs, m_route->attempts)));
-    request.headers.set(earlierArrivalsHeader, std::to_string(m_arrivals));
+    request.headers.set(attemptsLeftHeader, std::to_string(m_route->attempts - std::min(m_possiblyRunAttempts, m_route->attempts)));
+    request.headers.set(earlierAttemptsHeader, std::to_string(m_possiblyDeliveredAttempts));
     request.connectTimeout = peerConnectTimeout;
     Attempt attempt;
     attempt.target = AttemptTarget::Entry;
@@ -399,11 +407,12 @@
     attempt.why = why;
     attempt.peer = *peer;
     m_parts.metrics.count("forwards_to_regions");
-    m_parts.outlooks.noteSent(region, m_service, m_request.facts.promptTokens, now());
-    // What is bound to other regions leaves no trace here, not even a hash.
-    const PromptPart* shared = isAllowedHere() ? sharedPart() : nullptr;
+    m_parts.outlooks.recordSent(region, m_service, m_request.facts.promptTokens, now());
+    // Prompt data of a request that is bound to other regions isn't kept here, not even
+    // as a hash.
+    const PromptSegment* shared = isAllowedHere() ? sharedSegment() : nullptr;
     if (shared)
-        m_parts.endpoints.noteSentToRegion(region, shared->id, now());
+        m_parts.endpoints.recordSentToRegion(region, shared->id, now());
     startAttempt(std::move(attempt), std::move(request));
     return true;
 }
@@ -416,7 +425,7 @@
     request.target = m_request.http.path;
     if (!m_request.http.query.empty())
         absl::StrAppend(&request.target, "?", m_request.http.query);
-    request.headers = m_request.facts.forwarded;
+    request.headers = m_request.facts.forwardedHeaders;
     facts.timeLeft = std::max(timeLeft() - deadlineMargin, milliseconds(1));
     if (m_cursor.lastId())
         facts.resumeAfter = *m_cursor.lastId();
@@ -430,10 +439,10 @@
 void RoutedRun::startAttempt(Attempt attempt, HttpClientRequest request)
 {
     auto self = shared_from_this();
-    ++m_attempts;
-    attempt.number = ++m_parts.lastAttempt;
+    ++m_attemptCount;
+    attempt.number = ++m_parts.lastAttemptNumber;
     attempt.startedAt = now();
-    m_lastPlace = attempt.endpoint ? attempt.endpoint->record.incarnation : attempt.peer.toString();
+    m_lastTarget = attempt.endpoint ? attempt.endpoint->record.incarnation : attempt.peer.toString();
     m_lastWhy = attempt.why;
     std::uint64_t number = attempt.number;
     auto isCurrent = [number](const RoutedRun& run) { return run.m_attempt && run.m_attempt->number == number; };
@@ -454,33 +463,35 @@
             self->onEnd(result);
     };
     m_attempt->exchange = client.send(std::move(request), std::move(callbacks));
-    listenForGiveUp();
+    registerFailureCallback();
 }
 
-// The endpoint's table may learn that the endpoint is gone before its connection tells.
-void RoutedRun::listenForGiveUp()
+// The endpoint table may detect that the endpoint has stopped before the connection
+// fails.
+void RoutedRun::registerFailureCallback()
 {
     if (!m_attempt->endpoint)
         return;
     std::uint64_t number = m_attempt->number;
-    m_attempt->endpoint->giveUps[number] = [weak = weak_from_this(), number](GiveUpReason reason) {
+    m_attempt->endpoint->abortCallbacks[number] = [weak = weak_from_this(), number](AbortReason reason) {
         std::shared_ptr<RoutedRun> self = weak.lock();
         if (self && self->m_attempt && self->m_attempt->number == number)
-            self->giveUp(reason);
+            self->onEndpointFailure(reason);
     };
 }
 
-// A silent endpoint may still answer: what could only fail elsewhere stays.
-void RoutedRun::giveUp(GiveUpReason reason)
+// An unresponsive endpoint may still answer, so the attempt is abandoned only if the
+// request can be retried.
+void RoutedRun::onEndpointFailure(AbortReason reason)
 {
-    if (reason == GiveUpReason::StartedAgain) {
+    if (reason == AbortReason::Restarted) {
         abandonAttempt("endpoint_started_again");
         return;
     }
     RunProgress after = progress();
-    after.runs += 1;
+    after.possiblyRunAttempts += 1;
     after.mayHaveRun = true;
-    if (decideNext(AttemptVerdict::Unknown, after) == NextStep::SendAgain)
+    if (decideNext(AttemptVerdict::Unknown, after) == NextStep::Retry)
         abandonAttempt("endpoint_silent");
 }
 
--- a/lib/Ingress/StoreMirror.cpp
+++ b/lib/Ingress/StoreMirror.cpp
@@ -11,36 +11,36 @@
 {
 }
 
-// After a compaction the events since the last one that was seen are lost, and
-// every entry that waits at this one would have to list the store. The listing
-// holds what they brought about: all writes since, and the keys that are gone.
-void StoreMirror::noteDifferences(const StoreListing& listing)
+// After a compaction the events since the last received one are lost, and every entry
+// that waits at this one would have to list the store. Their net effect follows from
+// the listing: the keys written since, and the keys that no longer exist.
+void StoreMirror::recordDifferences(const StoreListing& listing)
 {
     std::vector<StoreChange> changes;
-    std::map<std::string, StoredValue> gone = std::exchange(m_values, {});
+    std::map<std::string, StoredValue> removed = std::exchange(m_values, {});
     for (const StoredValue& value : listing.values) {
         if (value.revision > m_revision)
             changes.push_back({ value.key, value.value, value.revision, false });
-        gone.erase(value.key);
+        removed.erase(value.key);
         m_values[value.key] = value;
     }
-    for (const auto& [key, value] : gone)
+    for (const auto& [key, value] : removed)
         changes.push_back({ key, "", listing.revision, true });
     std::stable_sort(changes.begin(), changes.end(), [](const StoreChange& a, const StoreChange& b) { return a.revision < b.revision; });
     m_changes.insert(m_changes.end(), changes.begin(), changes.end());
 }
 
-void StoreMirror::takeListing(const StoreListing& listing)
+void StoreMirror::applyListing(const StoreListing& listing)
 {
     if (listing.revision < m_revision)
         return;
     bool isFirst = m_revision == 0;
-    noteDifferences(listing);
-    // The differences cover the last gap alone; whoever is from before an earlier
-    // one would be told too little.
-    if (m_listedAfter < m_listedRevision)
+    recordDifferences(listing);
+    // The differences cover only the last gap. An entry whose revision is before an
+    // earlier gap would miss changes.
+    if (m_revisionBeforeListing < m_listedRevision)
         m_completeAfter = std::max(m_completeAfter, m_listedRevision);
-    m_listedAfter = m_revision;
+    m_revisionBeforeListing = m_revision;
     m_revision = listing.revision;
     m_listedRevision = listing.revision;
     if (isFirst) {
@@ -50,11 +50,11 @@
     trim();
 }
 
-void StoreMirror::takeEvents(const std::vector<StoreEvent>& events)
+void StoreMirror::applyEvents(const std::vector<StoreEvent>& events)
 {
     for (const StoreEvent& event : events) {
         const StoredValue& current = event.current;
-        // An event may come twice, from a watch that went on elsewhere.
+        // An event may arrive twice, after the watch has resumed at another source.
         if (current.revision <= std::max(m_completeAfter, m_listedRevision))
             continue;
         if (event.isDeletion)
@@ -75,7 +75,7 @@
     }
 }
 
-StoreChanges StoreMirror::everything() const
+StoreChanges StoreMirror::allValues() const
 {
     StoreChanges all;
     all.revision = m_revision;
@@ -89,15 +89,15 @@
     if (m_revision == 0)
         return std::nullopt;
     if (revision == 0)
-        return everything();
+        return allValues();
     if (revision < m_completeAfter)
         return std::nullopt;
-    // Whoever knows a part of what was missed may know keys that came and went
-    // there, of which the differences say nothing.
-    if (m_listedAfter < revision && revision < m_listedRevision)
+    // An entry whose revision is inside the gap may know keys that were created and
+    // deleted in the gap, which the differences don't contain.
+    if (m_revisionBeforeListing < revision && revision < m_listedRevision)
         return std::nullopt;
     StoreChanges changes;
-    // Whoever asks from further on knows more than this entry.
+    // The requesting entry may be at a later revision than this one.
     changes.revision = std::max(m_revision, revision);
     changes.spansListing = revision < m_listedRevision;
     for (const StoreChange& change : m_changes) {
--- a/lib/Membership/Announcements.cpp
+++ b/lib/Membership/Announcements.cpp
@@ -9,13 +9,13 @@
         return;
     m_isDraining = true;
     for (auto& [name, member] : m_members.all())
-        member.owesLeaving = true;
+        member.mustSendLeaving = true;
     markChanged();
     flushAnnouncements();
     reportChange();
 }
 
-void Membership::Impl::announceGone()
+void Membership::Impl::announceExit()
 {
     if (!isActive())
         return;
@@ -28,7 +28,7 @@
 
 void Membership::Impl::reportLeaving(const EndpointLeaving& endpoint)
 {
-    checkFrozen();
+    checkForPause();
     auto [entry, isNew] = m_leaving.try_emplace(endpoint, LeavingState { now(), true });
     if (!isNew)
         return;
@@ -39,15 +39,15 @@
     reportChange();
 }
 
-std::vector<EndpointLeaving> Membership::Impl::owedLeaving(const Member& member) const
+std::vector<EndpointLeaving> Membership::Impl::pendingLeaving(const Member& member) const
 {
-    std::vector<EndpointLeaving> owed;
+    std::vector<EndpointLeaving> pending;
     for (const auto& [endpoint, state] : m_leaving) {
         bool isAnnounced = state.isOwn && now() - state.since <= m_options.announceFor;
         if (isAnnounced && !member.channel.knowsLeaving(endpoint))
-            owed.push_back(endpoint);
+            pending.push_back(endpoint);
     }
-    return owed;
+    return pending;
 }
 
 void Membership::Impl::flushAnnouncements()
@@ -63,13 +63,14 @@
 
 void Membership::Impl::announceTo(Member& member)
 {
-    std::vector<EndpointLeaving> endpoints = owedLeaving(member);
+    std::vector<EndpointLeaving> endpoints = pendingLeaving(member);
     std::vector<PeerMessage> batch(endpoints.begin(), endpoints.end());
-    if (member.owesLeaving)
+    if (member.mustSendLeaving)
         batch.emplace_back(EntryLeaving { m_self.ref, false });
     if (batch.empty())
         return;
-    // Sent again before the answer is given up: it has to arrive within 2 s.
+    // The announcement is retried before the exchange times out, because it must
+    // reach the member within 2 s.
     member.nextAnnounce = now() + m_options.retryInterval;
     EntryRef ref = member.identity.ref;
     std::size_t expected = batch.size();
@@ -87,15 +88,15 @@
         ++m_counters.sendFailures;
         return;
     }
-    member->owesLeaving = false;
+    member->mustSendLeaving = false;
     for (const EndpointLeaving& endpoint : endpoints)
-        member->channel.noteLeaving(endpoint);
+        member->channel.recordLeaving(endpoint);
 }
 
-void Membership::Impl::noteLeaving(const EndpointLeaving& endpoint, Member* source)
+void Membership::Impl::recordLeaving(const EndpointLeaving& endpoint, Member* source)
 {
     if (source)
-        source->channel.noteLeaving(endpoint);
+        source->channel.recordLeaving(endpoint);
     auto [entry, isNew] = m_leaving.try_emplace(endpoint, LeavingState { now(), false });
     if (!isNew)
         return;
@@ -106,7 +107,7 @@
 
 PeerReply Membership::Impl::answer(const EndpointLeaving& endpoint)
 {
-    noteLeaving(endpoint, nullptr);
+    recordLeaving(endpoint, nullptr);
     return Acknowledgement {};
 }
 
@@ -121,8 +122,9 @@
     member->wasUsable = false;
     if (leaving.isGone) {
         setState(*member, MemberState::Dead);
-        // What is still under way from it is no sign of life.
-        member->heardSequence = UINT64_MAX;
+        // Messages of the exited run that are still in transit must not mark the
+        // member live again.
+        member->receivedSequence = UINT64_MAX;
     }
     return Acknowledgement {};
 }
@@ -135,7 +137,7 @@
             continue;
         }
         for (auto& [name, member] : m_members.all())
-            member.channel.forgetLeaving(entry->first);
+            member.channel.removeLeaving(entry->first);
         entry = m_leaving.erase(entry);
         markChanged();
     }
--- a/lib/Membership/DigestExchange.cpp
+++ b/lib/Membership/DigestExchange.cpp
@@ -4,10 +4,10 @@
 
 namespace catkinwing {
 
-// Digest intervals without a digest after which the second relay steps in.
+// Digest intervals without a digest after which the standby relay starts exchanging.
 static constexpr int standbyIntervals = 2;
-// Teams in a digest that is passed on; a member that joins gets no more of those
-// that changed before.
+// Maximum number of teams in a digest that is forwarded to a member. A member that joins
+// receives at most this many of the existing totals; the others follow when they change.
 static constexpr std::size_t maxRelayedTeams = 16;
 
 std::vector<ZoneEntry> Membership::Impl::ownEntries() const
@@ -44,13 +44,13 @@
     return isDigestFresh(m_options, zone.age(now()), expected, interval());
 }
 
-void Membership::Impl::judgeZones()
+void Membership::Impl::updateZoneReachability()
 {
     for (auto& [name, zone] : m_zones.all()) {
-        bool isReached = isReachable(zone);
-        if (isReached != zone.wasReachable)
+        bool isNowReachable = isReachable(zone);
+        if (isNowReachable != zone.wasReachable)
             markChanged();
-        zone.wasReachable = isReached;
+        zone.wasReachable = isNowReachable;
     }
 }
 
@@ -62,17 +62,17 @@
     if (relays.front() == m_self.ref.name)
         return true;
     bool isStandby = relays.size() > 1 && relays[1] == m_self.ref.name;
-    Duration patience = digestInterval(m_options, zone.region, m_self.region) * standbyIntervals + interval();
-    return isStandby && zone.age(now()) > patience;
+    Duration standbyDelay = digestInterval(m_options, zone.region, m_self.region) * standbyIntervals + interval();
+    return isStandby && zone.age(now()) > standbyDelay;
 }
 
 void Membership::Impl::exchangeWithZones()
 {
     std::uint32_t roster = rosterDigestOf(ownEntries());
     for (auto& [name, zone] : m_zones.all()) {
-        // Changed entries are told sooner than at the usual pace, by a relay
-        // that has just become one as well.
-        if (zone.digest && zone.toldRoster != roster)
+        // A change of this zone's entries brings the next exchange forward. This
+        // also holds for an entry that has just become the relay.
+        if (zone.digest && zone.sentRoster != roster)
             zone.nextExchange = std::min(zone.nextExchange, std::max(zone.lastExchange, zone.madeAt) + m_options.digestRetryInterval);
         if (isDue(name, zone))
             exchangeWith(name, zone);
@@ -99,9 +99,10 @@
     if (!digest || digest->zone != name) {
         ++m_counters.sendFailures;
         ++zone->failures;
-        // The answer may be lost alone, so all has to be told again.
-        zone->theirRoster = 0;
-        zone->toldServed.clear();
+        // The other zone may have received the digest although the reply was lost or
+        // invalid. Its state is unknown, so the next digest contains everything.
+        zone->peerKnownRoster = 0;
+        zone->sentServedTokens.clear();
         zone->nextExchange = now() + jittered(std::min(expected, m_options.digestRetryInterval));
         return;
     }
@@ -109,14 +110,14 @@
     receiveDirect(*digest);
 }
 
-// Totals that are on their way count as told: should they be lost, the exchange
-// fails, and all are told again.
-static void tellServed(const std::vector<NamedCount>& totals, CountTable& told, std::size_t limit, ZoneDigest& digest)
+// Adds the changed totals and records them as sent before they are acknowledged. If
+// the digest is lost, the exchange fails and all totals are sent again.
+static void addServedTotals(const std::vector<NamedCount>& totals, CountTable& sent, std::size_t limit, ZoneDigest& digest)
 {
-    TopChanges changes = topChanges(totals, told, limit);
+    TopChanges changes = topChanges(totals, sent, limit);
     digest.hasMoreServed = changes.hasMore;
     for (const NamedCount& item : changes.items) {
-        told[item.name] = item.count;
+        sent[item.name] = item.count;
         digest.served.push_back({ item.name, item.count });
     }
 }
@@ -143,28 +144,29 @@
     std::vector<ZoneEntry> entries = ownEntries();
     digest.rosterDigest = rosterDigestOf(entries);
     digest.knownRoster = zone.rosterDigest;
-    if (zone.theirRoster != digest.rosterDigest)
+    if (zone.peerKnownRoster != digest.rosterDigest)
         digest.entries = std::move(entries);
     digest.models = m_models;
-    // Shares are kept by region, so other regions need no totals.
+    // Team shares are computed per region, so other regions need no totals.
     if (zone.region == m_self.region)
-        tellServed(sumOf(m_served, m_servedByMembers), zone.toldServed, m_options.teamsPerDigest, digest);
+        addServedTotals(sumOf(m_served, m_servedByMembers), zone.sentServedTokens, m_options.maxTeamsPerDigest, digest);
     digest.configDigest = m_configDigest;
     digest.zonesDigest = m_zones.digest();
-    bool mayTellContacts = !zone.contactsSentAt || now() - *zone.contactsSentAt >= m_options.contactsInterval;
-    if (zone.theirZonesDigest != digest.zonesDigest && mayTellContacts) {
+    bool shouldSendContacts = !zone.contactsSentAt || now() - *zone.contactsSentAt >= m_options.contactsInterval;
+    if (zone.peerZonesDigest != digest.zonesDigest && shouldSendContacts) {
         digest.contacts = m_zones.contacts();
         zone.contactsSentAt = now();
     }
-    zone.toldRoster = digest.rosterDigest;
+    zone.sentRoster = digest.rosterDigest;
     zone.lastExchange = now();
     return digest;
 }
 
-ZoneDigest Membership::Impl::relayed(const Zone& zone, std::uint64_t knownVersion) const
+ZoneDigest Membership::Impl::relayedDigest(const Zone& zone, std::uint64_t knownVersion) const
 {
     ZoneDigest digest = *zone.digest;
-    // A digest that was replaced before it was passed on may have told more teams.
+    // A digest that was replaced before it was forwarded may have contained other
+    // teams, so the totals are taken from all digests since knownVersion.
     digest.served.clear();
     for (const auto& [team, total] : zone.totals) {
         if (total.version <= knownVersion)
@@ -187,7 +189,7 @@
 
 PeerReply Membership::Impl::answer(const ZoneDigest& digest)
 {
-    if (!isActive() || hasJustWoken())
+    if (!isActive() || hasJustResumed())
         return PeerError { PeerErrorCode::Unavailable, "the entry doesn't take digests now", std::nullopt };
     if (digest.region.empty())
         return PeerError { PeerErrorCode::Malformed, "the digest names no region", std::nullopt };
@@ -202,10 +204,10 @@
 {
     ++m_counters.digestsReceived;
     Zone& zone = *m_zones.find(digest.zone);
-    zone.theirRoster = digest.knownRoster;
-    zone.theirZonesDigest = digest.zonesDigest;
+    zone.peerKnownRoster = digest.knownRoster;
+    zone.peerZonesDigest = digest.zonesDigest;
     for (const ZoneContact& contact : digest.contacts)
-        noteContact(contact.zone, contact.region, contact.peerAddress);
+        addZoneContact(contact.zone, contact.region, contact.peerAddress);
     accept(zone, digest, true);
     if (digest.configDigest == m_configDigest)
         return;
@@ -222,8 +224,9 @@
         return madeAt > zone.madeAt;
     if (digest.sequence > zone.digest->sequence)
         return true;
-    // The relay started again, and its sequences with it. Ages alone don't tell,
-    // since they leave out the time on the network.
+    // A restarted relay starts its sequence numbers again, so a digest with a lower
+    // number is accepted if it was created later by a margin. The margin is needed
+    // because the age of a digest doesn't include its time on the network.
     return madeAt > zone.madeAt + m_options.digestRetryInterval;
 }
 
@@ -232,7 +235,7 @@
     TimePoint madeAt = now() - digest.age;
     if (isNewer(zone, digest, madeAt))
         replaceDigest(zone, digest, madeAt, isDirect);
-    // Entries may follow later than the digest that they belong to.
+    // The entries of a zone may arrive in a later message than the digest with their hash.
     bool isCurrent = zone.digest && zone.digest->rosterDigest == digest.rosterDigest && zone.rosterDigest != digest.rosterDigest;
     if (!isCurrent || !digest.entries || rosterDigestOf(*digest.entries) != digest.rosterDigest)
         return;
@@ -249,11 +252,11 @@
         zone.totals.clear();
     }
     for (const TeamTokens& total : digest.served) {
-        noteServed(digest.zone, digest.region, total, zone.served);
+        recordServed(digest.zone, digest.region, total, zone.served);
         zone.totals[total.team] = { total.tokens, zone.version };
     }
     if (!digest.hasMoreServed)
-        zone.served.noteComplete();
+        zone.served.recordComplete();
     if (!digest.region.empty())
         zone.region = digest.region;
     zone.digest = digest;
--- a/lib/Membership/HeartbeatExchange.cpp
+++ b/lib/Membership/HeartbeatExchange.cpp
@@ -3,10 +3,10 @@
 
 namespace catkinwing {
 
-// Leaving endpoints in one heartbeat; more wait for the next.
+// Maximum number of leaving endpoints in one heartbeat; further ones wait for the next.
 static constexpr std::size_t leavingPerHeartbeat = 16;
-// The side that doesn't begin exchanges waits 4/3 of the interval: longer than the
-// other's longest pause and a look.
+// The side that doesn't normally start exchanges waits 4/3 of the interval, which is
+// longer than the other side's maximum delay plus one timer tick.
 static constexpr int backupNumerator = 4;
 static constexpr int backupDenominator = 3;
 
@@ -27,7 +27,7 @@
         m_events.onMemberState(member.identity.ref, state);
 }
 
-void Membership::Impl::judgeMembers()
+void Membership::Impl::updateMemberStates()
 {
     Duration exchange = interval();
     auto& members = m_members.all();
@@ -38,8 +38,8 @@
             markChanged();
             continue;
         }
-        // Only a message makes a member better than it is.
-        MemberState state = judgeSilence(m_options, now() - member.heardAt, exchange);
+        // Only a received message improves a member's state.
+        MemberState state = stateAfterSilence(m_options, now() - member.lastReceivedAt, exchange);
         if (state > member.state)
             setState(member, state);
         bool isUsable = member.isUsable(m_options, now(), exchange);
@@ -54,18 +54,18 @@
 void Membership::Impl::exchangeWithMembers()
 {
     for (auto& [name, member] : m_members.all()) {
-        if (member.isExchanging || member.isAddressTaken || now() < member.nextExchange)
+        if (member.isExchanging || member.isAddressReused || now() < member.nextExchange)
             continue;
         exchangeWith(member);
     }
 }
 
-// One exchange serves both sides, so one of them begins it; the other waits a
-// little longer and begins only if nothing came.
-Duration Membership::Impl::pauseBefore(const Member& member)
+// One exchange serves both sides, so the side with the lower name starts it. The
+// other side waits longer and starts an exchange only if no heartbeat arrived.
+Duration Membership::Impl::delayBeforeNextExchange(const Member& member)
 {
-    Duration pause = jittered(interval());
-    return m_self.ref.name < member.identity.ref.name ? pause : pause * backupNumerator / backupDenominator;
+    Duration delay = jittered(interval());
+    return m_self.ref.name < member.identity.ref.name ? delay : delay * backupNumerator / backupDenominator;
 }
 
 void Membership::Impl::exchangeWith(Member& member)
@@ -81,25 +81,27 @@
     if (member)
         member->isExchanging = false;
     if (!replies.ok() || replies->size() != 1) {
-        noteFailure(ref);
+        recordExchangeFailure(ref);
         return;
     }
     receiveReply(replies->front());
-    // Another run may have answered at the address, or a refusal have come.
+    // receiveReply() may have replaced the member, so it is looked up again.
     member = m_members.find(ref);
     const auto* heartbeat = std::get_if<Heartbeat>(&replies->front());
+    // The exchange has failed if the reply is an error or comes from another run at this
+    // address.
     if (!member || !heartbeat || heartbeat->sender.ref != ref) {
         const auto* error = std::get_if<PeerError>(&replies->front());
         if (member && error && error->code == PeerErrorCode::UnknownRun)
             member->channel.reset();
-        noteFailure(ref);
+        recordExchangeFailure(ref);
         return;
     }
     member->failures = 0;
-    member->nextExchange = now() + pauseBefore(*member);
+    member->nextExchange = now() + delayBeforeNextExchange(*member);
 }
 
-void Membership::Impl::noteFailure(const EntryRef& ref)
+void Membership::Impl::recordExchangeFailure(const EntryRef& ref)
 {
     ++m_counters.sendFailures;
     Member* member = m_members.find(ref);
@@ -139,7 +141,7 @@
 void Membership::Impl::receiveReply(const PeerReply& reply)
 {
     if (const auto* error = std::get_if<PeerError>(&reply)) {
-        refusedBy(*error);
+        handleRefusal(*error);
         return;
     }
     const auto* heartbeat = std::get_if<Heartbeat>(&reply);
@@ -149,14 +151,15 @@
         m_isAccepted = true;
 }
 
-void Membership::Impl::refusedBy(const PeerError& error)
+void Membership::Impl::handleRefusal(const PeerError& error)
 {
     if (!error.known || !(m_self.ref.incarnation < *error.known))
         return;
     if (error.code == PeerErrorCode::LowIncarnation)
         raiseIncarnation(*error.known);
-    // A run that was never taken in waits instead: the later one may be a run of
-    // before whose death isn't noticed yet.
+    // A run that no member has accepted yet doesn't stop but keeps trying, because the
+    // run with the higher incarnation may be an earlier one whose death is not detected
+    // yet.
     if (error.code == PeerErrorCode::OldIncarnation && m_isAccepted)
         supersede();
 }
@@ -170,7 +173,7 @@
     heartbeat.hashes = StateHashes { m_configDigest, m_members.digest(m_self.ref), m_zones.digest() };
     if (m_freeze.count > 0) {
         heartbeat.freeze = m_freeze;
-        heartbeat.freeze->age = now() - *m_wokeAt;
+        heartbeat.freeze->age = now() - *m_resumedAt;
     }
     ++m_counters.heartbeatsSent;
     return heartbeat;
@@ -179,23 +182,23 @@
 Heartbeat Membership::Impl::heartbeatFor(Member& member)
 {
     Heartbeat heartbeat = introduction();
-    heartbeat.acknowledged = member.heardSequence;
+    heartbeat.acknowledged = member.receivedSequence;
     if (member.channel.isKnown())
         heartbeat.sender = EntryIdentity { m_self.ref, {}, {}, {}, {}, {} };
     SentContent content;
     content.sequence = heartbeat.sequence;
     content.sentAt = now();
     content.hashes = *heartbeat.hashes;
-    if (member.channel.hasOnly(content.hashes))
+    if (member.channel.peerHasExactly(content.hashes))
         heartbeat.hashes.reset();
     heartbeat.demand = m_demand;
-    content.load = topChanges(m_load, member.channel.load(), m_options.endpointsPerHeartbeat).items;
+    content.load = topChanges(m_load, member.channel.load(), m_options.maxEndpointsPerHeartbeat).items;
     for (const NamedCount& load : content.load)
         heartbeat.load.push_back({ load.name, static_cast<std::uint32_t>(load.count) });
-    TopChanges served = topChanges(m_served, member.channel.served(), m_options.teamsPerHeartbeat);
+    TopChanges served = topChanges(m_served, member.channel.served(), m_options.maxTeamsPerHeartbeat);
     heartbeat.hasMoreServed = served.hasMore;
-    content.served = std::move(served.items);
-    for (const NamedCount& team : content.served)
+    content.servedTokens = std::move(served.items);
+    for (const NamedCount& team : content.servedTokens)
         heartbeat.served.push_back({ team.name, team.count });
     for (const auto& [endpoint, state] : m_leaving) {
         if (content.leaving.size() < leavingPerHeartbeat && !member.channel.knowsLeaving(endpoint))
@@ -204,8 +207,8 @@
     heartbeat.leaving = content.leaving;
     if (member.hashes.members != content.hashes.members)
         heartbeat.members = m_members.addresses();
-    bool mayTellContacts = !member.contactsSentAt || now() - *member.contactsSentAt >= m_options.contactsInterval;
-    if (member.hashes.zones != content.hashes.zones && mayTellContacts) {
+    bool shouldSendContacts = !member.contactsSentAt || now() - *member.contactsSentAt >= m_options.contactsInterval;
+    if (member.hashes.zones != content.hashes.zones && shouldSendContacts) {
         heartbeat.contacts = m_zones.contacts();
         member.contactsSentAt = now();
     }
@@ -220,14 +223,15 @@
         if (!zone.digest || !zone.isDirect)
             continue;
         bool isVersionKnown = member.channel.digestVersion(name) == zone.version;
-        bool isRosterKnown = member.channel.rosterDigest(name) == zone.rosterDigest;
-        bool hasRosterRoom = content.rosters.size() < m_options.rostersPerHeartbeat;
-        bool tellsRoster = !isRosterKnown && hasRosterRoom;
-        // Without its entries a new zone is of no use, so it waits for room.
-        if (isRosterKnown ? isVersionKnown : !hasRosterRoom)
+        bool isRosterKnown = member.channel.acknowledgedRosterDigest(name) == zone.rosterDigest;
+        bool hasRosterCapacity = content.rosters.size() < m_options.maxRostersPerHeartbeat;
+        bool sendsRoster = !isRosterKnown && hasRosterCapacity;
+        // A new zone is unusable without its entries, so its digest waits until a
+        // heartbeat can include them.
+        if (isRosterKnown ? isVersionKnown : !hasRosterCapacity)
             continue;
-        ZoneDigest digest = relayed(zone, member.channel.digestVersion(name));
-        if (tellsRoster) {
+        ZoneDigest digest = relayedDigest(zone, member.channel.digestVersion(name));
+        if (sendsRoster) {
             digest.region = zone.region;
             digest.entries = zone.entries;
             content.rosters.push_back({ name, zone.rosterDigest });
--- a/lib/Membership/MemberTable.cpp
+++ b/lib/Membership/MemberTable.cpp
@@ -8,8 +8,8 @@
 
 void Member::dropReports()
 {
-    heardSequence = 0;
-    hearsUsAt.reset();
+    receivedSequence = 0;
+    lastAcknowledgedAt.reset();
     channel.reset();
     failures = 0;
     demand.clear();
@@ -19,14 +19,14 @@
     contactsSentAt.reset();
 }
 
-bool Member::hearsUs(const MembershipOptions& options, TimePoint now, Duration interval) const
+bool Member::hasRecentAcknowledgement(const MembershipOptions& options, TimePoint now, Duration interval) const
 {
-    return hearsUsAt && now - *hearsUsAt <= interval * static_cast<int>(options.deafAfterIntervals);
+    return lastAcknowledgedAt && now - *lastAcknowledgedAt <= interval * static_cast<int>(options.unacknowledgedAfterIntervals);
 }
 
 bool Member::isUsable(const MembershipOptions& options, TimePoint now, Duration interval) const
 {
-    return state == MemberState::Live && !draining && failures < options.unusableAfterFailures && hearsUs(options, now, interval);
+    return state == MemberState::Live && !draining && failures < options.unusableAfterFailures && hasRecentAcknowledgement(options, now, interval);
 }
 
 Member* MemberTable::find(const std::string& name)
@@ -61,7 +61,8 @@
 
 std::uint32_t MemberTable::digest(const EntryRef& self) const
 {
-    // A sum doesn't depend on the order, in which this entry stands elsewhere.
+    // A sum doesn't depend on the order in which the entries are added. The order differs
+    // between entries, because an entry isn't in its own table and is added first.
     std::uint64_t sum = hashOf(self);
     for (const auto& [name, member] : m_members) {
         if (member.state != MemberState::Dead)
--- a/lib/Membership/MemberTable.h
+++ b/lib/Membership/MemberTable.h
@@ -8,19 +8,21 @@
 
 namespace catkinwing {
 
-/// What an entry keeps of one run of another entry of its zone.
+/// The state that an entry keeps for one incarnation of another entry of its zone.
 struct Member {
     EntryIdentity identity;
     MemberState state { MemberState::Live };
     bool draining { false };
-    /// True if another entry answers at its address.
-    bool isAddressTaken { false };
+    /// True if an entry of another name uses the peer address of this member. Exchanges
+    /// with the member then stop until a heartbeat of it is received.
+    bool isAddressReused { false };
 
-    /// Time of the latest message, or at which waiting for one began.
-    TimePoint heardAt {};
-    std::uint64_t heardSequence { 0 };
+    /// Time at which the latest message was received, or at which the wait for one began
+    /// if that is later.
+    TimePoint lastReceivedAt {};
+    std::uint64_t receivedSequence { 0 };
     /// Time at which the latest message that the member acknowledged was sent.
-    std::optional<TimePoint> hearsUsAt;
+    std::optional<TimePoint> lastAcknowledgedAt;
     bool wasUsable { false };
 
     PeerChannel channel;
@@ -30,10 +32,10 @@
     Duration probeInterval {};
     TimePoint diedAt {};
 
-    bool owesLeaving { false };
+    bool mustSendLeaving { false };
     TimePoint nextAnnounce {};
 
-    std::uint32_t freezes { 0 };
+    std::uint32_t pauses { 0 };
     std::optional<TimePoint> configReportedAt;
     StateHashes hashes;
     std::optional<TimePoint> contactsSentAt;
@@ -41,11 +43,11 @@
     std::map<std::string, std::uint32_t> load;
     ServedTracker served;
 
-    /// Forgets all that the member said, as after a freeze of this entry.
+    /// Resets all reported state, for example after a pause of this entry's process.
     void dropReports();
-    /// Returns whether the member lately acknowledged a message.
-    bool hearsUs(const MembershipOptions& options, TimePoint now, Duration interval) const;
-    /// Returns whether new work may go to it.
+    /// Returns whether the member recently acknowledged a message of this entry.
+    bool hasRecentAcknowledgement(const MembershipOptions& options, TimePoint now, Duration interval) const;
+    /// Returns whether new requests may be forwarded to the member.
     bool isUsable(const MembershipOptions& options, TimePoint now, Duration interval) const;
 };
 
@@ -56,7 +58,7 @@
     const std::map<std::string, Member>& all() const { return m_members; }
     /// Returns the member, or null.
     Member* find(const std::string& name);
-    /// Returns the member if it is of just this run, or null.
+    /// Returns the member if its incarnation matches, or null.
     Member* find(const EntryRef& ref);
     /// Returns whether a member that isn't dead answers at \p address.
     bool isInUse(const SocketAddress& address) const;
--- a/lib/Membership/MembershipImpl.h
+++ b/lib/Membership/MembershipImpl.h
@@ -7,26 +7,26 @@
 
 namespace catkinwing {
 
-/// The state of a membership. Its functions are spread over the sources by job:
-/// Membership.cpp (life, freezes, candidates), HeartbeatExchange.cpp (what is sent
-/// to members), HeartbeatReception.cpp (what comes from them), DigestExchange.cpp (zones), Announcements.cpp (drain and leaving endpoints) and
-/// ViewBuilder.cpp.
+/// Implementation of Membership. The sources are divided by function: Membership.cpp
+/// (life cycle, pauses, candidate addresses), HeartbeatExchange.cpp (heartbeats sent to
+/// members), HeartbeatReception.cpp (heartbeats received), DigestExchange.cpp (other
+/// zones), Announcements.cpp (drain and leaving endpoints), ViewBuilder.cpp (the view).
 class Membership::Impl {
 public:
     Impl(EntryIdentity self, MembershipOptions options, Scheduler& scheduler, PeerTransport& transport, Random random, MembershipEvents events);
 
     // Membership.cpp
     void start();
-    void learn(const std::vector<Candidate>& candidates);
+    void addCandidates(const std::vector<Candidate>& candidates);
     void setLocalState(LocalState state);
-    void checkFrozen();
+    void checkForPause();
     std::optional<PeerReply> handle(const PeerMessage& message);
     const EntryIdentity& self() const { return m_self; }
     const MembershipCounters& counters() const { return m_counters; }
 
     // Announcements.cpp
     void startDraining();
-    void announceGone();
+    void announceExit();
     void reportLeaving(const EndpointLeaving& endpoint);
 
     // ViewBuilder.cpp
@@ -37,15 +37,16 @@
         TimePoint nextTry {};
         Duration probeInterval {};
         bool isExchanging { false };
-        TimePoint learntAt {};
+        TimePoint addedAt {};
     };
     struct LeavingState {
         TimePoint since {};
-        /// True if this entry saw it first and has to announce it.
+        /// True if reportLeaving() was called on this entry, which then announces the
+        /// endpoint.
         bool isOwn { false };
     };
     struct Reception {
-        /// The member that spoke, or null.
+        /// The member that sent the heartbeat, or null.
         Member* member { nullptr };
         std::optional<PeerError> refusal;
     };
@@ -55,7 +56,7 @@
     Duration interval() const { return exchangeInterval(m_options, m_members.liveCount()); }
     Duration jittered(Duration duration);
     bool isActive() const { return m_isStarted && !m_isStopped; }
-    bool hasJustWoken() const { return m_wokeAt && now() - *m_wokeAt < m_options.freezeMargin; }
+    bool hasJustResumed() const { return m_resumedAt && now() - *m_resumedAt < m_options.pauseThreshold; }
     void scheduleTick();
     void tick();
     void dropViews();
@@ -65,28 +66,28 @@
     void probeCandidates();
     void restartCandidates();
     void addCandidate(const SocketAddress& address);
-    void noteContact(const std::string& zone, const std::string& region, const SocketAddress& address);
+    void addZoneContact(const std::string& zone, const std::string& region, const SocketAddress& address);
     void markChanged() { m_isViewChanged = true; }
     void reportChange();
-    /// Sends a batch; the callback runs only if this still lives, is active and was
-    /// not frozen since.
+    /// Sends a batch. The callback runs only if this object still exists, is not
+    /// stopped and has not started a new epoch since.
     void send(const SocketAddress& address, std::vector<PeerMessage> batch, PeerTransport::Callback callback);
 
     // HeartbeatExchange.cpp
-    void judgeMembers();
+    void updateMemberStates();
     void setState(Member& member, MemberState state);
     void exchangeWithMembers();
     void exchangeWith(Member& member);
-    Duration pauseBefore(const Member& member);
+    Duration delayBeforeNextExchange(const Member& member);
     void finishExchange(const EntryRef& ref, const absl::StatusOr<std::vector<PeerReply>>& replies);
-    void noteFailure(const EntryRef& ref);
+    void recordExchangeFailure(const EntryRef& ref);
     void probe(const SocketAddress& address);
     void finishProbe(const SocketAddress& address, const absl::StatusOr<std::vector<PeerReply>>& replies);
     void receiveReply(const PeerReply& reply);
     Heartbeat introduction();
     Heartbeat heartbeatFor(Member& member);
     void addDigests(Member& member, Heartbeat& heartbeat, SentContent& content);
-    void refusedBy(const PeerError& error);
+    void handleRefusal(const PeerError& error);
 
     // HeartbeatReception.cpp
     PeerReply answer(const Heartbeat& heartbeat);
@@ -96,18 +97,18 @@
     void retireOthersAt(const SocketAddress& address, const std::string& name);
     void apply(Member& member, const Heartbeat& heartbeat);
     void applyLoad(Member& member, const Heartbeat& heartbeat);
-    void applyHearsay(Member& member, const Heartbeat& heartbeat);
+    void applyRelayedState(Member& member, const Heartbeat& heartbeat);
     void reportConfig(const ConfigPeer& peer, std::optional<TimePoint>& reportedAt);
-    void noteServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker);
+    void recordServed(const std::string& zone, const std::string& region, const TeamTokens& total, ServedTracker& tracker);
 
     // DigestExchange.cpp
     void exchangeWithZones();
-    void judgeZones();
+    void updateZoneReachability();
     bool isDue(const std::string& name, const Zone& zone);
     void exchangeWith(const std::string& name, Zone& zone);
     void finishDigest(const std::string& name, const absl::StatusOr<std::vector<PeerReply>>& replies);
     ZoneDigest digestFor(Zone& zone);
-    ZoneDigest relayed(const Zone& zone, std::uint64_t knownVersion) const;
+    ZoneDigest relayedDigest(const Zone& zone, std::uint64_t knownVersion) const;
     PeerReply answer(const ZoneDigest& digest);
     void receiveDirect(const ZoneDigest& digest);
     bool isNewer(const Zone& zone, const ZoneDigest& digest, TimePoint madeAt) const;
@@ -121,8 +122,8 @@
     void flushAnnouncements();
     void announceTo(Member& member);
     void finishAnnouncement(const EntryRef& ref, const std::vector<EndpointLeaving>& endpoints, bool isDone);
-    std::vector<EndpointLeaving> owedLeaving(const Member& member) const;
-    void noteLeaving(const EndpointLeaving& endpoint, Member* source);
+    std::vector<EndpointLeaving> pendingLeaving(const Member& member) const;
+    void recordLeaving(const EndpointLeaving& endpoint, Member* source);
     PeerReply answer(const EndpointLeaving& endpoint);
     PeerReply answer(const EntryLeaving& leaving);
     void pruneLeaving();
@@ -137,12 +138,13 @@
     bool m_isStarted { false };
     bool m_isStopped { false };
     bool m_isDraining { false };
-    /// True once another entry took in a heartbeat of this run.
+    /// True once another entry of the zone accepted a heartbeat of this run.
     bool m_isAccepted { false };
     TimePoint m_nextTick {};
-    std::optional<TimePoint> m_wokeAt;
+    std::optional<TimePoint> m_resumedAt;
     FreezeMark m_freeze;
-    /// Counts freezes and raised incarnations; answers from before are dropped.
+    /// Number of pauses and raised incarnations; replies to messages of an earlier
+    /// epoch are dropped.
     std::uint64_t m_epoch { 0 };
     std::uint64_t m_lastSequence;
     std::uint64_t m_lastVersion { 0 };
@@ -157,7 +159,7 @@
     std::vector<NamedCount> m_load;
     std::vector<NamedCount> m_served;
     std::vector<ModelRoom> m_models;
-    /// Tokens that other entries of the zone were seen to serve, by team.
+    /// Tokens that other entries of the zone reported as served, by team.
     CountTable m_servedByMembers;
 
     MembershipCounters m_counters;
@@ -165,7 +167,7 @@
     bool m_isMembersViewStale { true };
     bool m_isZonesViewStale { true };
     MembershipView m_view;
-    /// Ends with this object; callbacks hold it weakly.
+    /// Expires with this object; callbacks hold a weak pointer to it.
     std::shared_ptr<bool> m_alive;
 };
 
--- a/lib/Membership/ServedTracker.h
+++ b/lib/Membership/ServedTracker.h
@@ -4,16 +4,16 @@
 
 namespace catkinwing {
 
-/// Turns the running totals of one source into increments.
+/// Converts the running totals of one source into increments.
 class ServedTracker {
 public:
-    /// Returns the tokens since the last total of the team. A team's first total
-    /// counts only if all were known before, and one that fell not at all: the
-    /// source started again.
+    /// Returns the tokens since the last total of the team. For the first total of a team,
+    /// returns zero before recordComplete() and the whole total afterwards. Returns zero for
+    /// a total that decreased, since the source has restarted.
     std::uint64_t increment(const TeamTokens& total);
-    /// Notes that the source has told all that it had.
-    void noteComplete() { m_isComplete = true; }
-    /// Forgets all totals.
+    /// Records that the source has reported the totals of all its teams.
+    void recordComplete() { m_isComplete = true; }
+    /// Drops all totals.
     void reset() { *this = ServedTracker(); }
 
 private:
--- a/lib/Membership/ViewBuilder.cpp
+++ b/lib/Membership/ViewBuilder.cpp
@@ -8,8 +8,8 @@
     view.identity = member.identity;
     view.state = member.state;
     view.draining = member.draining;
-    view.heardAt = member.heardAt;
-    view.freezes = member.freezes;
+    view.lastReceivedAt = member.lastReceivedAt;
+    view.pauses = member.pauses;
     view.configDigest = member.hashes.config;
     view.demand = member.demand;
     view.load.reserve(member.load.size());
@@ -34,15 +34,15 @@
 
 const MembershipView& Membership::Impl::view()
 {
-    checkFrozen();
+    checkForPause();
     m_view.draining = m_isDraining;
     if (m_isMembersViewStale) {
         m_isMembersViewStale = false;
         m_view.members.clear();
         for (const auto& [name, member] : m_members.all()) {
             m_view.members.push_back(viewOf(member));
-            bool isReached = member.failures < m_options.unusableAfterFailures;
-            m_view.members.back().hearsUs = isReached && member.hearsUs(m_options, now(), interval());
+            bool isAnswering = member.failures < m_options.unusableAfterFailures;
+            m_view.members.back().receivesOurMessages = isAnswering && member.hasRecentAcknowledgement(m_options, now(), interval());
         }
         m_view.leaving.clear();
         for (const auto& [endpoint, state] : m_leaving)
--- a/lib/Routing/CallerSteering.cpp
+++ b/lib/Routing/CallerSteering.cpp
@@ -10,7 +10,7 @@
 
 double rendezvousScore(absl::string_view key, absl::string_view node, double weight)
 {
-    // The top bits fill a double's mantissa; the half keeps the logarithm
+    // The top 53 bits fill a double's mantissa. Adding 0.5 keeps the logarithm
     // finite.
     constexpr unsigned droppedBits = 11;
     constexpr double range = 9007199254740992.0;
@@ -21,14 +21,14 @@
 
 namespace {
 
-    /// Order of the entries: nearer groups first, then the higher score.
+    /// Groups of entries, in order of preference.
     enum class Nearness { Zone,
         Region,
         OtherRegion,
         WithoutModel };
 
     struct Ranked {
-        std::size_t place;
+        std::size_t index;
         Nearness nearness;
         Duration distance;
         double score;
@@ -47,16 +47,16 @@
         return Nearness::WithoutModel;
     if (entry.region != request.region)
         return Nearness::OtherRegion;
-    // A session belongs to one entry of the region, whichever zone it is asked
-    // for from: its cache is worth more than the step between zones.
+    // All zones of the region direct a session to the same entry: reusing its
+    // cache saves more than the network delay between zones costs.
     if (!request.session.empty())
         return Nearness::Region;
     return entry.zone == request.zone ? Nearness::Zone : Nearness::Region;
 }
 
-static bool goesBefore(const Ranked& a, const Ranked& b)
+static bool isRankedBefore(const Ranked& a, const Ranked& b)
 {
-    return std::make_tuple(a.nearness, a.distance, -a.score, a.place) < std::make_tuple(b.nearness, b.distance, -b.score, b.place);
+    return std::make_tuple(a.nearness, a.distance, -a.score, a.index) < std::make_tuple(b.nearness, b.distance, -b.score, b.index);
 }
 
 static std::string affinityKey(const SteeringRequest& request)
@@ -65,25 +65,25 @@
     return request.team + '\n' + request.model + '\n' + session;
 }
 
-std::vector<std::size_t> steerCallers(const SteeringRequest& request, absl::Span<const EntryView> entries, const SlowStartPolicy& slowStart, TimePoint now)
+std::vector<std::size_t> rankEntries(const SteeringRequest& request, absl::Span<const EntryView> entries, const SlowStartPolicy& slowStart, TimePoint now)
 {
     std::string key = affinityKey(request);
     std::vector<Ranked> ranked;
-    for (std::size_t place = 0; place < entries.size(); ++place) {
-        const EntryView& entry = entries[place];
+    for (std::size_t index = 0; index < entries.size(); ++index) {
+        const EntryView& entry = entries[index];
         if (entry.draining || !entry.reachable || !isAllowed(request.residency, entry.region))
             continue;
         Nearness nearness = nearnessOf(request, entry);
         Duration distance = nearness == Nearness::OtherRegion ? entry.roundTripTime : Duration::zero();
-        double weight = entry.weight * slowStartWeight(slowStart, entry.since, now);
-        ranked.push_back({ place, nearness, distance, rendezvousScore(key, entry.name, weight) });
+        double weight = entry.weight * slowStartWeight(slowStart, entry.availableSince, now);
+        ranked.push_back({ index, nearness, distance, rendezvousScore(key, entry.name, weight) });
     }
-    std::sort(ranked.begin(), ranked.end(), goesBefore);
-    std::vector<std::size_t> places;
-    places.reserve(ranked.size());
+    std::sort(ranked.begin(), ranked.end(), isRankedBefore);
+    std::vector<std::size_t> indexes;
+    indexes.reserve(ranked.size());
     for (const Ranked& rank : ranked)
-        places.push_back(rank.place);
-    return places;
+        indexes.push_back(rank.index);
+    return indexes;
 }
 
 } // namespace catkinwing
--- a/lib/Routing/CostModel.cpp
+++ b/lib/Routing/CostModel.cpp
@@ -10,22 +10,22 @@
     return endpoint.report && now - endpoint.report->measuredAt <= policy.maxReportAge;
 }
 
-unsigned believedInFlight(const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now)
+unsigned estimatedInFlight(const EndpointView& endpoint, const RoutingPolicy& policy, TimePoint now)
 {
     if (!hasFreshReport(endpoint, policy, now))
         return endpoint.ownInFlight;
     return endpoint.ownInFlight + endpoint.othersInFlight;
 }
 
-static double believedBacklog(const EndpointView& endpoint, TimePoint now)
+static double estimatedBacklog(const EndpointView& endpoint, TimePoint now)
 {
-    double drained = remainingTokens(endpoint.backlog, endpoint.prefillTokensPerSecond, now);
-    // Own requests without a first token are there for certain, even where the
-    // engine drains more slowly than believed.
-    return std::max(drained, endpoint.ownPendingPrefillTokens);
+    double remaining = remainingTokens(endpoint.backlog, endpoint.prefillTokensPerSecond, now);
+    // The backlog includes at least this entry's requests without a first token,
+    // even if the engine prefills more slowly than estimated.
+    return std::max(remaining, endpoint.ownPendingPrefillTokens);
 }
 
-static Duration waitForSlot(const EndpointView& endpoint, unsigned inFlight)
+static Duration predictSlotWait(const EndpointView& endpoint, unsigned inFlight)
 {
     if (inFlight < endpoint.slots || endpoint.slots == 0)
         return Duration::zero();
@@ -35,14 +35,14 @@
 
 CostTerms predictTimeToFirstToken(const EndpointView& endpoint, const CostInputs& inputs, const RoutingPolicy& policy, TimePoint now)
 {
-    unsigned inFlight = believedInFlight(endpoint, policy, now);
+    unsigned inFlight = estimatedInFlight(endpoint, policy, now);
     double occupancy = std::min(1.0, static_cast<double>(inFlight) / std::max(endpoint.slots, 1U));
     double secondsPerToken = (1 + policy.batchSlowdown * occupancy) / std::max(endpoint.prefillTokensPerSecond, 1.0);
 
     CostTerms terms;
     terms.prefillTokens = std::max(inputs.promptTokens - inputs.cachedTokens, 0.0);
-    terms.queue = fromSeconds(believedBacklog(endpoint, now) * secondsPerToken);
-    terms.slotWait = waitForSlot(endpoint, inFlight);
+    terms.queue = fromSeconds(estimatedBacklog(endpoint, now) * secondsPerToken);
+    terms.slotWait = predictSlotWait(endpoint, inFlight);
     terms.prefill = fromSeconds(terms.prefillTokens * secondsPerToken);
     terms.network = endpoint.roundTripTime;
     if (inputs.needsAdapterLoad)
--- a/lib/Routing/EndpointLifecycle.cpp
+++ b/lib/Routing/EndpointLifecycle.cpp
@@ -5,88 +5,89 @@
 
 namespace catkinwing {
 
-/// Incarnations of one name that are remembered after their replacement.
+/// Maximum number of replaced incarnations kept per endpoint.
 static constexpr std::size_t maxReplaced = 4;
 
-static void noteLeaving(LifecycleStatus& status, const LifecycleSign& sign, TimePoint now)
+static void recordLeaving(LifecycleStatus& status, const LifecycleReport& report, TimePoint now)
 {
-    if (!sign.leaving || status.leaving)
+    if (!report.leaving || status.leaving)
         return;
     status.leaving = true;
-    status.leavingSource = sign.source;
+    status.leavingSource = report.source;
     status.leavingSince = now;
 }
 
-static LifecycleStatus startOf(const LifecycleSign& sign, TimePoint now)
+static LifecycleStatus makeStatus(const LifecycleReport& report, TimePoint now)
 {
     LifecycleStatus status;
-    status.incarnation = sign.incarnation;
+    status.incarnation = report.incarnation;
     status.startedAt = now;
-    noteLeaving(status, sign, now);
+    recordLeaving(status, report, now);
     return status;
 }
 
-LifecycleChange EndpointLifecycle::record(const LifecycleSign& sign, TimePoint now)
+LifecycleChange EndpointLifecycle::record(const LifecycleReport& report, TimePoint now)
 {
-    auto [known, added] = m_entries.try_emplace(sign.endpoint);
-    Entry& entry = known->second;
-    bool fromEndpoint = sign.source == LifecycleSource::Endpoint;
+    auto [known, added] = m_endpoints.try_emplace(report.endpoint);
+    TrackedEndpoint& tracked = known->second;
+    bool fromEndpoint = report.source == LifecycleSource::Endpoint;
     if (added) {
-        entry.present = startOf(sign, now);
-        entry.confirmed = fromEndpoint;
+        tracked.present = makeStatus(report, now);
+        tracked.confirmed = fromEndpoint;
         return LifecycleChange::Started;
     }
-    if (sign.incarnation != entry.present.incarnation)
-        return recordOther(entry, sign, now);
-    entry.confirmed = entry.confirmed || fromEndpoint;
-    bool wasLeaving = entry.present.leaving;
-    noteLeaving(entry.present, sign, now);
-    return entry.present.leaving && !wasLeaving ? LifecycleChange::Leaving : LifecycleChange::None;
+    if (report.incarnation != tracked.present.incarnation)
+        return recordOtherIncarnation(tracked, report, now);
+    tracked.confirmed = tracked.confirmed || fromEndpoint;
+    bool wasLeaving = tracked.present.leaving;
+    recordLeaving(tracked.present, report, now);
+    return tracked.present.leaving && !wasLeaving ? LifecycleChange::Leaving : LifecycleChange::None;
 }
 
-LifecycleChange EndpointLifecycle::recordOther(Entry& entry, const LifecycleSign& sign, TimePoint now) const
+LifecycleChange EndpointLifecycle::recordOtherIncarnation(TrackedEndpoint& tracked, const LifecycleReport& report, TimePoint now) const
 {
-    bool fromEndpoint = sign.source == LifecycleSource::Endpoint;
-    auto isNamed = [&sign](const LifecycleStatus& status) { return status.incarnation == sign.incarnation; };
-    auto old = std::find_if(entry.replaced.begin(), entry.replaced.end(), isNamed);
-    if (old != entry.replaced.end() && !fromEndpoint) {
-        noteLeaving(*old, sign, now);
+    bool fromEndpoint = report.source == LifecycleSource::Endpoint;
+    auto isSameIncarnation = [&report](const LifecycleStatus& status) { return status.incarnation == report.incarnation; };
+    auto former = std::find_if(tracked.replaced.begin(), tracked.replaced.end(), isSameIncarnation);
+    if (former != tracked.replaced.end() && !fromEndpoint) {
+        recordLeaving(*former, report, now);
         return LifecycleChange::None;
     }
-    // A live endpoint that spoke for itself outweighs word of a start that no
-    // one has seen: lists lag and may name an incarnation from before.
-    if (old == entry.replaced.end() && !fromEndpoint && entry.confirmed && !entry.present.leaving)
+    // A live incarnation that the endpoint itself has reported takes precedence
+    // over an unconfirmed new one: an outdated list may name an earlier incarnation.
+    if (former == tracked.replaced.end() && !fromEndpoint && tracked.confirmed && !tracked.present.leaving)
         return LifecycleChange::None;
-    LifecycleStatus next = startOf(sign, now);
-    if (old != entry.replaced.end()) {
-        // The endpoint itself says so: the replacement had been mere hearsay.
-        // What was known of the incarnation, leaving included, comes back.
-        next = *old;
-        noteLeaving(next, sign, now);
-        entry.replaced.erase(old);
+    LifecycleStatus next = makeStatus(report, now);
+    if (former != tracked.replaced.end()) {
+        // The endpoint itself reports the replaced incarnation, which overrides
+        // its replacement. The state of the incarnation is restored, including
+        // whether it is leaving.
+        next = *former;
+        recordLeaving(next, report, now);
+        tracked.replaced.erase(former);
     }
-    entry.replaced.push_back(std::exchange(entry.present, std::move(next)));
-    if (entry.replaced.size() > maxReplaced)
-        entry.replaced.erase(entry.replaced.begin());
-    entry.confirmed = fromEndpoint;
+    tracked.replaced.push_back(std::exchange(tracked.present, std::move(next)));
+    if (tracked.replaced.size() > maxReplaced)
+        tracked.replaced.erase(tracked.replaced.begin());
+    tracked.confirmed = fromEndpoint;
     return LifecycleChange::Started;
 }
 
 const LifecycleStatus* EndpointLifecycle::status(absl::string_view endpoint) const
 {
-    auto known = m_entries.find(endpoint);
-    return known == m_entries.end() ? nullptr : &known->second.present;
+    auto known = m_endpoints.find(endpoint);
+    return known == m_endpoints.end() ? nullptr : &known->second.present;
 }
 
-bool EndpointLifecycle::takesWork(absl::string_view endpoint) const
+bool EndpointLifecycle::acceptsRequests(absl::string_view endpoint) const
 {
     const LifecycleStatus* known = status(endpoint);
     return known && !known->leaving;
 }
 
-void EndpointLifecycle::forget(absl::string_view endpoint)
+void EndpointLifecycle::remove(absl::string_view endpoint)
 {
-    m_entries.erase(endpoint);
+    m_endpoints.erase(endpoint);
 }
 
 } // namespace catkinwing
--- a/lib/Routing/Forwarding.cpp
+++ b/lib/Routing/Forwarding.cpp
@@ -8,8 +8,8 @@
 
 namespace catkinwing {
 
-/// Cells whose predictions differ by less than this count as equal.
-static constexpr Duration equalWithin = std::chrono::milliseconds(5);
+/// Cells whose predictions exceed the best one by at most this count as equal.
+static constexpr Duration predictionTolerance = std::chrono::milliseconds(5);
 
 static bool hasVisited(const RoutingRequest& request, absl::string_view zone)
 {
@@ -23,8 +23,8 @@
     if (freshness <= 0)
         return 0;
     double ramp = slowStartWeight(policy.slowStart, cell.reachableSince, now);
-    double part = model.freeSlots * freshness * ramp / std::max(policy.senders, 1U);
-    auto allowed = static_cast<unsigned>(std::floor(part + cell.digestDither));
+    double share = model.freeSlots * freshness * ramp / std::max(policy.senders, 1U);
+    auto allowed = static_cast<unsigned>(std::floor(share + cell.digestDither));
     return allowed > model.forwardsSinceDigest ? allowed - model.forwardsSinceDigest : 0;
 }
 
@@ -34,8 +34,8 @@
     return known == cell.models.end() ? nullptr : &known->second;
 }
 
-// What this cell can't serve at all is better served from cold caches than
-// refused, so slow start doesn't hold it back.
+// Disables slow start for requests that this cell can't serve: a cell with cold
+// caches is better than a refusal.
 static ForwardPolicy allowancePolicy(const ForwardInputs& inputs)
 {
     ForwardPolicy policy = inputs.policy;
@@ -44,7 +44,7 @@
     return policy;
 }
 
-static bool mayReceive(const ForwardInputs& inputs, const RemoteCellView& cell)
+static bool isEligibleTarget(const ForwardInputs& inputs, const RemoteCellView& cell)
 {
     if (!isAllowed(inputs.request.residency, cell.region))
         return false;
@@ -59,35 +59,37 @@
 static Duration predictRemote(const ForwardInputs& inputs, const RemoteCellView& cell)
 {
     const RemoteModelView& model = *findModel(cell, inputs.request.model);
-    // Prefix indexes don't leave their cell: the whole prompt counts as not
-    // cached there, and each own forward since as prefill that goes first.
+    // The prefix indexes of other cells are unknown, so the whole prompt counts
+    // as uncached. Each unfinished forward since the digest is assumed to prefill
+    // as many tokens ahead of this request.
     double prefills = 1.0 + model.forwardsSinceDigest;
     Duration prefill = fromSeconds(prefills * inputs.request.promptTokens / std::max(model.prefillTokensPerSecond, 1.0));
     return cell.roundTripTime + model.predictedWait + prefill;
 }
 
-static bool isLate(const ForwardInputs& inputs, Duration prediction)
+static bool missesDeadline(const ForwardInputs& inputs, Duration prediction)
 {
     return inputs.request.timeLeft && prediction > *inputs.request.timeLeft;
 }
 
-/// The gain that a forward of this kind must bring.
+/// Returns the gain that a forward to another zone or region must exceed.
 static Duration thresholdFor(const ForwardInputs& inputs, const ForwardState& state, bool otherRegion)
 {
-    // A request that would be late here goes wherever it isn't.
-    if (inputs.localPrediction && isLate(inputs, *inputs.localPrediction))
+    // If the request would miss its deadline here, any gain is enough.
+    if (inputs.localPrediction && missesDeadline(inputs, *inputs.localPrediction))
         return Duration::zero();
     const ForwardPolicy& policy = inputs.policy;
-    double factor = (otherRegion ? state.sendingToRegions : state.sendingToZones) ? policy.keepFactor : 1;
+    double factor = (otherRegion ? state.forwardingToRegions : state.forwardingToZones) ? policy.keepFactor : 1;
     if (otherRegion)
-        factor *= 1 + policy.sharePenalty * shareSentAway(state) / policy.targetShare;
+        factor *= 1 + policy.sharePenalty * crossRegionShare(state) / policy.targetShare;
     Duration base = otherRegion ? policy.regionThreshold : policy.zoneThreshold;
     return fromSeconds(toSeconds(base) * factor);
 }
 
 namespace {
 
-    /// The cells of one kind that could receive the request.
+    /// The cells that can receive the request, all in this region or all in other
+    /// regions, and the shortest prediction among them.
     struct Receivers {
         std::vector<Forward> forwards;
         Duration best { Duration::max() };
@@ -100,10 +102,10 @@
     Receivers receivers;
     for (std::size_t i = 0; i < inputs.cells.size(); ++i) {
         const RemoteCellView& cell = inputs.cells[i];
-        if ((cell.region != inputs.ownRegion) != otherRegion || !mayReceive(inputs, cell))
+        if ((cell.region != inputs.ownRegion) != otherRegion || !isEligibleTarget(inputs, cell))
             continue;
         Duration prediction = predictRemote(inputs, cell);
-        if (isLate(inputs, prediction))
+        if (missesDeadline(inputs, prediction))
             continue;
         Duration gain = inputs.localPrediction ? *inputs.localPrediction - prediction : Duration::max();
         receivers.forwards.push_back({ i, otherRegion, prediction, gain });
@@ -112,26 +114,27 @@
     return receivers;
 }
 
-static Forward drawNearBest(const Receivers& receivers, Random& random)
+static Forward chooseNearBest(const Receivers& receivers, Random& random)
 {
-    std::vector<const Forward*> near;
+    std::vector<const Forward*> nearBest;
     for (const Forward& forward : receivers.forwards) {
-        if (forward.predictedTimeToFirstToken - receivers.best <= equalWithin)
-            near.push_back(&forward);
+        if (forward.predictedTimeToFirstToken - receivers.best <= predictionTolerance)
+            nearBest.push_back(&forward);
     }
-    return *near[random.below(near.size())];
+    return *nearBest[random.below(nearBest.size())];
 }
 
-/// Returns the forward of one kind where it is worth its cost.
+/// Returns the forward to one of \p receivers if its gain exceeds the threshold,
+/// and updates the hysteresis flag.
 static std::optional<Forward> chooseReceiver(const Receivers& receivers, const ForwardInputs& inputs, ForwardState& state, bool otherRegion, Random& random)
 {
-    bool& sending = otherRegion ? state.sendingToRegions : state.sendingToZones;
+    bool& forwarding = otherRegion ? state.forwardingToRegions : state.forwardingToZones;
     Duration threshold = thresholdFor(inputs, state, otherRegion);
-    bool worth = !receivers.forwards.empty() && (!inputs.localPrediction || *inputs.localPrediction - receivers.best > threshold);
-    sending = worth;
-    if (!worth)
+    bool worthwhile = !receivers.forwards.empty() && (!inputs.localPrediction || *inputs.localPrediction - receivers.best > threshold);
+    forwarding = worthwhile;
+    if (!worthwhile)
         return std::nullopt;
-    return drawNearBest(receivers, random);
+    return chooseNearBest(receivers, random);
 }
 
 ForwardDecision decideForward(const ForwardInputs& inputs, ForwardState& state, Random& random)
@@ -150,16 +153,16 @@
 
 void recordRouted(ForwardState& state, const ForwardPolicy& policy, bool toOtherRegion, TimePoint now)
 {
-    double passed = toSeconds(std::max(now - state.countedAt, Duration::zero()));
-    double kept = std::exp(-passed / toSeconds(policy.shareWindow));
-    state.requests = state.requests * kept + 1;
-    state.sentToRegions = state.sentToRegions * kept + (toOtherRegion ? 1 : 0);
+    double elapsed = toSeconds(std::max(now - state.countedAt, Duration::zero()));
+    double decay = std::exp(-elapsed / toSeconds(policy.shareWindow));
+    state.requests = state.requests * decay + 1;
+    state.forwardedToRegions = state.forwardedToRegions * decay + (toOtherRegion ? 1 : 0);
     state.countedAt = now;
 }
 
-double shareSentAway(const ForwardState& state)
+double crossRegionShare(const ForwardState& state)
 {
-    return state.requests > 0 ? state.sentToRegions / state.requests : 0;
+    return state.requests > 0 ? state.forwardedToRegions / state.requests : 0;
 }
 
 void recordForward(RemoteCellView& cell, absl::string_view model)
--- a/lib/Routing/OutlierDetector.cpp
+++ b/lib/Routing/OutlierDetector.cpp
@@ -7,18 +7,18 @@
 
 namespace catkinwing {
 
-static constexpr std::size_t peersForMedian = 3;
+static constexpr std::size_t minPeersForMedian = 3;
 
 OutlierDetector::OutlierDetector(OutlierPolicy policy)
     : m_policy(policy)
 {
 }
 
-OutlierDetector::Entry& OutlierDetector::entry(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now)
+OutlierDetector::TrackedEndpoint& OutlierDetector::findOrAdd(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now)
 {
-    auto& known = m_entries[endpoint];
+    auto& known = m_endpoints[endpoint];
     if (!known || known->incarnation != incarnation) {
-        known = std::make_unique<Entry>();
+        known = std::make_unique<TrackedEndpoint>();
         known->incarnation = std::string(incarnation);
         known->healthySince = now;
     }
@@ -28,23 +28,24 @@
 
 void OutlierDetector::add(absl::string_view endpoint, absl::string_view peerGroup, absl::string_view incarnation, TimePoint now)
 {
-    entry(endpoint, peerGroup, incarnation, now);
+    findOrAdd(endpoint, peerGroup, incarnation, now);
 }
 
 void OutlierDetector::remove(absl::string_view endpoint)
 {
-    m_entries.erase(endpoint);
+    m_endpoints.erase(endpoint);
 }
 
 void OutlierDetector::record(const EndpointOutcome& outcome, TimePoint now)
 {
-    Entry& known = entry(outcome.endpoint, outcome.peerGroup, outcome.incarnation, now);
-    // Late outcomes of requests from before the ejection say nothing new.
+    TrackedEndpoint& known = findOrAdd(outcome.endpoint, outcome.peerGroup, outcome.incarnation, now);
+    // Outcomes that arrive during an ejection belong to requests sent before it and are
+    // ignored.
     if (known.ejected)
         return;
     known.unreachableInARow = outcome.unreachable ? known.unreachableInARow + 1 : 0;
     if (!outcome.unreachable)
-        known.unreachableTimes = 0;
+        known.unreachableEjections = 0;
     known.errorsInARow = outcome.failed ? known.errorsInARow + 1 : 0;
     known.outcomes += 1;
     known.errorRate += m_policy.smoothing * ((outcome.failed ? 1.0 : 0.0) - known.errorRate);
@@ -59,7 +60,7 @@
 std::vector<EjectionChange> OutlierDetector::evaluate(TimePoint now)
 {
     std::map<std::string, Group> groups;
-    for (auto& [endpoint, known] : m_entries)
+    for (auto& [endpoint, known] : m_endpoints)
         groups[known->peerGroup].emplace_back(endpoint, known.get());
     std::vector<EjectionChange> changes;
     for (auto& [name, group] : groups) {
@@ -76,20 +77,20 @@
         if (known->latencies >= m_policy.minimumOutcomes)
             latencies.push_back(known->latencySeconds);
     }
-    if (latencies.size() < peersForMedian)
+    if (latencies.size() < minPeersForMedian)
         return std::nullopt;
     auto middle = latencies.begin() + static_cast<std::ptrdiff_t>(latencies.size() / 2);
     std::nth_element(latencies.begin(), middle, latencies.end());
     return *middle;
 }
 
-std::optional<EjectionCause> OutlierDetector::suspicion(const Entry& entry, std::optional<double> medianLatency) const
+std::optional<EjectionCause> OutlierDetector::ejectionCause(const TrackedEndpoint& tracked, std::optional<double> medianLatency) const
 {
-    if (entry.errorsInARow >= m_policy.consecutiveErrors)
+    if (tracked.errorsInARow >= m_policy.consecutiveErrors)
         return EjectionCause::ConsecutiveErrors;
-    if (entry.outcomes >= m_policy.minimumOutcomes && entry.errorRate >= m_policy.errorRate)
+    if (tracked.outcomes >= m_policy.minimumOutcomes && tracked.errorRate >= m_policy.errorRate)
         return EjectionCause::ErrorRate;
-    if (medianLatency && entry.latencies >= m_policy.minimumOutcomes && entry.latencySeconds > m_policy.latencyFactor * *medianLatency)
+    if (medianLatency && tracked.latencies >= m_policy.minimumOutcomes && tracked.latencySeconds > m_policy.latencyFactor * *medianLatency)
         return EjectionCause::Latency;
     return std::nullopt;
 }
@@ -97,116 +98,117 @@
 void OutlierDetector::evaluateGroup(Group& group, TimePoint now, std::vector<EjectionChange>& changes)
 {
     for (auto& [endpoint, known] : group) {
-        if (known->ejected && now >= known->until) {
-            comeBack(*known, now);
+        if (known->ejected && now >= known->ejectedUntil) {
+            endEjection(*known, now);
             changes.push_back({ endpoint, std::nullopt, {} });
         }
-        forgive(*known, now);
+        decayEjections(*known, now);
     }
     ejectUnreachable(group, now, changes);
     std::optional<double> median = medianLatency(group);
-    std::vector<std::pair<std::string, Entry*>> suspects;
-    std::size_t out = 0;
+    std::vector<std::pair<std::string, TrackedEndpoint*>> suspects;
+    std::size_t ejectedCount = 0;
     for (auto& [endpoint, known] : group) {
         if (known->ejected)
-            out += 1;
-        else if (suspicion(*known, median))
+            ejectedCount += 1;
+        else if (ejectionCause(*known, median))
             suspects.emplace_back(endpoint, known);
     }
     auto size = static_cast<double>(group.size());
-    if (static_cast<double>(out + suspects.size()) >= m_policy.panicFraction * size) {
+    if (static_cast<double>(ejectedCount + suspects.size()) >= m_policy.panicFraction * size) {
         for (auto& [endpoint, known] : group) {
             if (!known->ejected)
                 continue;
-            comeBack(*known, now);
+            endEjection(*known, now);
             changes.push_back({ endpoint, std::nullopt, {} });
         }
         return;
     }
-    auto mostOut = static_cast<std::size_t>(std::floor(m_policy.maxEjectedFraction * size));
-    // The worst go first where not all may go.
+    auto maxEjected = static_cast<std::size_t>(std::floor(m_policy.maxEjectedFraction * size));
+    // The cap may not allow all ejections, so the worst suspects come first.
     std::stable_sort(suspects.begin(), suspects.end(), [](const auto& a, const auto& b) { return a.second->errorsInARow > b.second->errorsInARow; });
     for (auto& [endpoint, known] : suspects) {
-        if (out >= mostOut)
+        if (ejectedCount >= maxEjected)
             return;
-        std::optional<EjectionCause> cause = suspicion(*known, median);
+        std::optional<EjectionCause> cause = ejectionCause(*known, median);
         eject(*known, now);
-        changes.push_back({ endpoint, cause, known->until });
-        out += 1;
+        changes.push_back({ endpoint, cause, known->ejectedUntil });
+        ejectedCount += 1;
     }
 }
 
-// Cap and panic keep capacity that may still serve. An address that refuses
-// connections serves nobody, and as long as it is in use it draws requests away
-// from cells that could serve them. What is set aside here is then no peer of
-// the others.
+// The ejection cap and the panic threshold preserve capacity that may still
+// serve requests, so they don't apply here: an address that refuses connections
+// serves none, and while it is in use it attracts requests that other cells could
+// serve. The ejected endpoints are removed from the group, so that they don't
+// count as peers of the others.
 void OutlierDetector::ejectUnreachable(Group& group, TimePoint now, std::vector<EjectionChange>& changes) const
 {
     for (auto& [endpoint, known] : group) {
         if (known->ejected || known->unreachableInARow < m_policy.consecutiveUnreachable)
             continue;
-        Duration time = m_policy.unreachableRetry;
-        for (unsigned i = 0; i < known->unreachableTimes && time < m_policy.baseEjection; ++i)
-            time *= 2;
-        known->unreachableTimes += 1;
+        Duration duration = m_policy.baseUnreachableEjection;
+        for (unsigned i = 0; i < known->unreachableEjections && duration < m_policy.baseEjection; ++i)
+            duration *= 2;
+        known->unreachableEjections += 1;
         known->unreachable = true;
         known->ejected = true;
-        known->until = now + std::min(time, m_policy.baseEjection);
-        changes.push_back({ endpoint, EjectionCause::Unreachable, known->until });
+        known->ejectedUntil = now + std::min(duration, m_policy.baseEjection);
+        changes.push_back({ endpoint, EjectionCause::Unreachable, known->ejectedUntil });
     }
     auto isUnreachable = [](const auto& peer) { return peer.second->unreachable; };
     group.erase(std::remove_if(group.begin(), group.end(), isUnreachable), group.end());
 }
 
-void OutlierDetector::eject(Entry& entry, TimePoint now) const
+void OutlierDetector::eject(TrackedEndpoint& tracked, TimePoint now) const
 {
-    Duration time = m_policy.baseEjection;
-    for (unsigned i = 0; i < entry.ejections && time < m_policy.maxEjection; ++i)
-        time *= 2;
-    entry.ejections += 1;
-    entry.ejected = true;
-    entry.until = now + std::min(time, m_policy.maxEjection);
+    Duration duration = m_policy.baseEjection;
+    for (unsigned i = 0; i < tracked.ejections && duration < m_policy.maxEjection; ++i)
+        duration *= 2;
+    tracked.ejections += 1;
+    tracked.ejected = true;
+    tracked.ejectedUntil = now + std::min(duration, m_policy.maxEjection);
 }
 
-void OutlierDetector::comeBack(Entry& entry, TimePoint now) const
+void OutlierDetector::endEjection(TrackedEndpoint& tracked, TimePoint now) const
 {
-    // One more refused connection sets an unreachable endpoint aside again.
-    entry.unreachableInARow = entry.unreachable ? m_policy.consecutiveUnreachable - 1 : 0;
-    entry.unreachable = false;
-    entry.ejected = false;
-    entry.returnedAt = now;
-    entry.healthySince = now;
-    // What was seen before the ejection must not eject it again.
-    entry.errorsInARow = 0;
-    entry.outcomes = 0;
-    entry.errorRate = 0;
-    entry.latencies = 0;
+    // One more failed connection ejects an unreachable endpoint again.
+    tracked.unreachableInARow = tracked.unreachable ? m_policy.consecutiveUnreachable - 1 : 0;
+    tracked.unreachable = false;
+    tracked.ejected = false;
+    tracked.reinstatedAt = now;
+    tracked.healthySince = now;
+    // Outcomes from before the ejection must not cause another one.
+    tracked.errorsInARow = 0;
+    tracked.outcomes = 0;
+    tracked.errorRate = 0;
+    tracked.latencies = 0;
 }
 
-void OutlierDetector::forgive(Entry& entry, TimePoint now) const
+void OutlierDetector::decayEjections(TrackedEndpoint& tracked, TimePoint now) const
 {
-    if (entry.ejected || entry.ejections == 0 || now - entry.healthySince < m_policy.forgiveAfter)
+    if (tracked.ejected || tracked.ejections == 0 || now - tracked.healthySince < m_policy.ejectionDecayInterval)
         return;
-    entry.ejections -= 1;
-    entry.healthySince = now;
+    tracked.ejections -= 1;
+    tracked.healthySince = now;
 }
 
 bool OutlierDetector::isEjected(absl::string_view endpoint) const
 {
-    auto known = m_entries.find(endpoint);
-    return known != m_entries.end() && known->second->ejected;
+    auto known = m_endpoints.find(endpoint);
+    return known != m_endpoints.end() && known->second->ejected;
 }
 
 double OutlierDetector::weight(absl::string_view endpoint, TimePoint now) const
 {
-    auto known = m_entries.find(endpoint);
-    if (known == m_entries.end())
+    auto known = m_endpoints.find(endpoint);
+    if (known == m_endpoints.end())
         return 1;
     if (known->second->ejected)
         return 0;
-    if (!known->second->returnedAt)
+    if (!known->second->reinstatedAt)
         return 1;
-    return slowStartWeight(m_policy.slowStart, *known->second->returnedAt, now);
+    return slowStartWeight(m_policy.slowStart, *known->second->reinstatedAt, now);
 }
 
 } // namespace catkinwing
