--- a/unittests/Admission/FairQueueTest.cpp
+++ b/unittests/Admission/FairQueueTest.cpp
@@ -8,7 +8,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static bool always(const QueuedRequest&)
+static bool alwaysCanStart(const QueuedRequest&)
 {
     return true;
 }
@@ -28,7 +28,7 @@
         region.setMeanCost("a", 3000);
         for (const char* team : { "a", "b", "c" })
             region.setBacklogged(team, "d", true);
-        // The first team took all slots before the others came.
+        // The first team occupied all slots before the other teams had requests.
         region.run(10s);
         region.resetServed();
         region.run(300s);
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("a flooding team borrows idle share and gives it back within seconds")
+TEST_CASE("a flooding team uses idle shares and loses them within seconds when they are claimed")
 {
     RegionFake region({ { "d" } }, { teamOf("flood", 1), teamOf("quiet", 3) }, 4);
     region.setBacklogged("flood", "d", true);
@@ -57,7 +57,7 @@
     CHECK(region.served("quiet") / total == Approx(0.75).epsilon(0.05));
 }
 
-TEST_CASE("an idle team doesn't save up its share")
+TEST_CASE("an idle team is not compensated for its idle time")
 {
     RegionFake region({ { "d" } }, { teamOf("busy", 1), teamOf("idle", 1) }, 5);
     region.setBacklogged("busy", "d", true);
@@ -81,7 +81,7 @@
     queue.enqueue(requestOf("a", 2, 100, now, 10s), now);
     queue.enqueue(requestOf("a", 3, 100, now, 20s), now);
     std::vector<RequestId> order;
-    while (std::optional<QueuedRequest> next = queue.pickNext(always, now))
+    while (std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now))
         order.push_back(next->id);
     CHECK(order == std::vector<RequestId> { 2, 3, 1 });
 }
@@ -105,11 +105,11 @@
         REQUIRE((first && second));
         CHECK(first->id + second->id == 5);
         CHECK_FALSE(queue.pickNext(notFull, now));
-        CHECK(queue.pickNext(always, now)->id == 1);
+        CHECK(queue.pickNext(alwaysCanStart, now)->id == 1);
     }
 }
 
-TEST_CASE("classes of a team share by weight and none starves")
+TEST_CASE("classes of a team are served by their weights and none starves")
 {
     FairQueue queue;
     TimePoint now {};
@@ -129,13 +129,13 @@
             add("question", 100);
         while (queue.waiting("m", WorkKind::Long) < 4)
             add("review", 5000);
-        std::optional<QueuedRequest> next = queue.pickNext(always, now);
+        std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now);
         (next->kind == WorkKind::Short ? question : review) += next->cost;
     }
     CHECK(question / review == Approx(3).epsilon(0.05));
 }
 
-TEST_CASE("a team that couldn't start is made good for the credit window only")
+TEST_CASE("a team that couldn't start is compensated for no more than the max compensation time")
 {
     SharePolicy policy;
     FairQueue queue(policy);
@@ -149,7 +149,7 @@
     };
     for (int i = 0; i < 2000; ++i)
         add("stuck", "full");
-    // Ten requests of 100 tokens a second for ten minutes.
+    // Ten requests of 100 tokens per second for ten minutes.
     for (int i = 0; i < 6000; ++i) {
         add("free", "open");
         now += 100ms;
@@ -157,14 +157,14 @@
         queue.refreshShares(now);
     }
     add("free", "open");
-    int ahead = 0;
-    while (queue.pickNext(always, now)->team == "stuck")
-        ++ahead;
-    CHECK(ahead >= 45);
-    CHECK(ahead <= 55);
+    int stuckBeforeFree = 0;
+    while (queue.pickNext(alwaysCanStart, now)->team == "stuck")
+        ++stuckBeforeFree;
+    CHECK(stuckBeforeFree >= 45);
+    CHECK(stuckBeforeFree <= 55);
 }
 
-TEST_CASE("settling charges what a request really cost")
+TEST_CASE("settling charges the actual cost of a request")
 {
     FairQueue queue;
     TimePoint now {};
@@ -176,8 +176,8 @@
             while (queue.teamSize(team) < 2)
                 queue.enqueue(requestOf(team, ++id, 100, now, 1h), now);
         }
-        std::optional<QueuedRequest> next = queue.pickNext(always, now);
-        // One team's estimates are four times too low.
+        std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now);
+        // The estimates of one team are too low by a factor of four.
         double cost = next->team == "low" ? 400 : 100;
         queue.settle(*next, cost, now);
         actual[next->team] += cost;
@@ -185,7 +185,7 @@
     CHECK(actual["low"] / actual["true"] == Approx(1).epsilon(0.01));
 }
 
-TEST_CASE("what can't make its deadline is handed back at once")
+TEST_CASE("a request that can't meet its deadline expires at once")
 {
     FairQueue queue;
     TimePoint now {};
@@ -203,7 +203,7 @@
     CHECK(queue.size() == 0);
 }
 
-TEST_CASE("the team that holds most for its weight gives way when the queue is full")
+TEST_CASE("eviction removes a request of the team that holds the most bytes per weight")
 {
     FairQueue queue;
     TimePoint now {};
@@ -212,14 +212,16 @@
         queue.enqueue(requestOf("heavy", id, 100, now, 10s), now);
     for (RequestId id = 11; id <= 13; ++id)
         queue.enqueue(requestOf("greedy", id, 100, now, std::chrono::seconds(id)), now);
-    // The latest of the team with 3 for a weight of 1, not of that with 8 for 8.
+    // Evicts the latest request of the team with 3 requests and weight 1, not of the
+    // team with 8 requests and weight 8.
     CHECK(queue.evictFor(requestOf("newcomer", 20, 100, now, 10s), now)->id == 13);
-    // The greedy team's own newcomer has the least right, unless it is due earlier.
+    // A new request of the greedy team ranks lowest itself, unless it is due earlier
+    // than the team's queued requests.
     CHECK_FALSE(queue.evictFor(requestOf("greedy", 21, 100, now, 60s), now));
     CHECK(queue.evictFor(requestOf("greedy", 22, 100, now, 1s), now)->id == 12);
 }
 
-TEST_CASE("a configuration change moves weights and hands back orphans")
+TEST_CASE("a configuration change updates weights and returns the requests of removed teams and classes")
 {
     FairQueue queue;
     TimePoint now {};
@@ -229,7 +231,7 @@
     for (RequestId id = 10; id < 2000; ++id)
         queue.enqueue(requestOf(id % 2 ? "a" : "b", id, 100, now, 1h), now);
     for (int i = 0; i < 100; ++i)
-        queue.pickNext(always, now);
+        queue.pickNext(alwaysCanStart, now);
     QueuedRequest old = requestOf("a", 1, 100, now, 1h);
     old.requestClass = "old";
     queue.enqueue(old, now);
@@ -244,11 +246,11 @@
 
     int servedA = 0;
     for (int i = 0; i < 500; ++i)
-        servedA += queue.pickNext(always, now)->team == "a" ? 1 : 0;
+        servedA += queue.pickNext(alwaysCanStart, now)->team == "a" ? 1 : 0;
     CHECK(servedA == Approx(400).margin(10));
 }
 
-TEST_CASE("every request leaves once and the sizes add up")
+TEST_CASE("every request leaves the queue once and the sizes add up")
 {
     for (std::uint64_t seed : { 11, 12, 13, 14, 15 }) {
         INFO("seed " << seed);
@@ -257,50 +259,50 @@
         TimePoint now {};
         std::vector<TeamPolicy> teams { teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) };
         queue.configure(teams, now);
-        std::map<RequestId, std::size_t> inside;
-        auto leave = [&](const QueuedRequest& request) { REQUIRE(inside.erase(request.id) == 1); };
+        std::map<RequestId, std::size_t> expectedBytes;
+        auto removeExpected = [&](const QueuedRequest& request) { REQUIRE(expectedBytes.erase(request.id) == 1); };
         for (RequestId id = 1; id < 4000; ++id) {
             now += std::chrono::milliseconds(random.below(200));
             QueuedRequest request = requestOf(teams[random.below(3)].name, id, 1 + static_cast<double>(random.below(5000)), now, std::chrono::milliseconds(random.below(40000)));
             request.model = random.below(2) ? "m" : "n";
             request.pool = random.below(2) ? "m" : "";
             request.bytes = random.below(1000);
-            inside[id] = request.bytes;
+            expectedBytes[id] = request.bytes;
             queue.enqueue(request, now);
             std::uint64_t blocked = random.below(3);
             auto canStart = [&](const QueuedRequest& candidate) { return candidate.model != (blocked == 0 ? "m" : blocked == 1 ? "n"
                                                                                                                                : "-"); };
             if (std::optional<QueuedRequest> next = queue.pickNext(canStart, now)) {
                 CHECK(canStart(*next));
-                leave(*next);
+                removeExpected(*next);
                 queue.settle(*next, static_cast<double>(random.below(9000)), now);
             }
             if (random.below(4) == 0) {
                 if (std::optional<QueuedRequest> removed = queue.remove(1 + random.below(id), now))
-                    leave(*removed);
+                    removeExpected(*removed);
             }
             if (random.below(10) == 0) {
                 for (const QueuedRequest& late : queue.expire(now))
-                    leave(late);
+                    removeExpected(late);
             }
             if (random.below(50) == 0)
-                queue.setTeamHeld("b", random.below(2) == 0);
+                queue.setTeamPaused("b", random.below(2) == 0);
             if (random.below(100) == 0) {
                 queue.refreshShares(now);
                 for (const QueuedRequest& orphan : queue.configure({ teams[0], teams[2] }, now))
-                    leave(orphan);
+                    removeExpected(orphan);
                 queue.configure(teams, now);
             }
             std::size_t bytes = 0;
-            for (const auto& [known, size] : inside)
+            for (const auto& [known, size] : expectedBytes)
                 bytes += size;
-            REQUIRE(queue.size() == inside.size());
+            REQUIRE(queue.size() == expectedBytes.size());
             REQUIRE(queue.bytes() == bytes);
         }
-        queue.setTeamHeld("b", false);
-        while (std::optional<QueuedRequest> next = queue.pickNext(always, now))
-            leave(*next);
-        CHECK(inside.empty());
+        queue.setTeamPaused("b", false);
+        while (std::optional<QueuedRequest> next = queue.pickNext(alwaysCanStart, now))
+            removeExpected(*next);
+        CHECK(expectedBytes.empty());
     }
 }
 
@@ -310,14 +312,14 @@
     TimePoint now {};
     queue.configure({ teamOf("a", 1e-3), teamOf("b", 3e-3) }, now);
     RequestId id = 0;
-    // Each request stands for the service of ten minutes at 100,000 tokens a second.
+    // Each request stands for ten minutes of service at 100,000 tokens per second.
     for (int i = 0; i < 30 * 24 * 6; ++i) {
         now += 10min;
         for (const char* team : { "a", "b" }) {
             while (queue.teamSize(team) < 3)
                 queue.enqueue(requestOf(team, ++id, 6e7, now, 1000h), now);
         }
-        queue.pickNext(always, now);
+        queue.pickNext(alwaysCanStart, now);
         queue.refreshShares(now);
     }
     int servedA = 0;
@@ -326,32 +328,32 @@
             while (queue.teamSize(team) < 3)
                 queue.enqueue(requestOf(team, ++id, 6e7, now, 1000h), now);
         }
-        servedA += queue.pickNext(always, now)->team == "a" ? 1 : 0;
+        servedA += queue.pickNext(alwaysCanStart, now)->team == "a" ? 1 : 0;
     }
     CHECK(servedA == Approx(1000).margin(10));
 }
 
-TEST_CASE("the counter told to others never goes back")
+TEST_CASE("the reported service counter never decreases")
 {
     FairQueue queue;
     TimePoint now {};
     queue.configure({ teamOf("a", 1) }, now);
     RequestId id = 0;
-    std::uint64_t told = 0;
+    std::uint64_t reported = 0;
     auto serve = [&](double actual) {
         queue.enqueue(requestOf("a", ++id, 100, now, 1h), now);
-        queue.settle(*queue.pickNext(always, now), actual, now);
+        queue.settle(*queue.pickNext(alwaysCanStart, now), actual, now);
         std::vector<ServiceCounter> counters = queue.servedCounters();
         REQUIRE(counters.size() == 1);
-        CHECK(counters[0].tokens >= told);
-        told = counters[0].tokens;
+        CHECK(counters[0].tokens >= reported);
+        reported = counters[0].tokens;
     };
     serve(100);
     serve(0);
     serve(20);
-    CHECK(told == 200);
+    CHECK(reported == 200);
     queue.configure({}, now);
     queue.configure({ teamOf("a", 1) }, now);
     serve(400);
-    CHECK(told == 600);
+    CHECK(reported == 600);
 }
--- a/unittests/Admission/RegionFake.cpp
+++ b/unittests/Admission/RegionFake.cpp
@@ -4,7 +4,7 @@
 
 namespace catkinwing {
 
-/// Requests kept waiting for a backlogged team at a daemon.
+/// Number of queued requests of a backlogged team at a daemon.
 static constexpr std::size_t backlogDepth = 8;
 
 TeamPolicy teamOf(const std::string& name, double weight)
@@ -38,9 +38,9 @@
         daemon.spec = std::move(spec);
         daemon.queue = std::make_unique<FairQueue>();
         daemon.queue->configure(m_teams, now());
-        // Heartbeats of the daemons are out of step.
+        // A random phase keeps the heartbeats of the daemons from coinciding.
         Duration phase = std::chrono::milliseconds(m_random.below(500));
-        m_scheduler.callAfter(phase, [this, name] { scheduleBeat(name); });
+        m_scheduler.callAfter(phase, [this, name] { scheduleHeartbeats(name); });
     }
 }
 
@@ -48,19 +48,19 @@
 {
     Daemon& daemon = m_daemons.at(name);
     if (!backlogged) {
-        daemon.backlogged.erase(team);
+        daemon.backloggedTeams.erase(team);
         return;
     }
-    daemon.backlogged.insert(team);
+    daemon.backloggedTeams.insert(team);
     startWork(daemon);
 }
 
-void RegionFake::setCut(const std::string& a, const std::string& b, bool cut)
+void RegionFake::setPartitioned(const std::string& a, const std::string& b, bool partitioned)
 {
-    if (cut)
-        m_cuts.insert({ a, b });
+    if (partitioned)
+        m_partitions.insert({ a, b });
     else
-        m_cuts.erase({ a, b });
+        m_partitions.erase({ a, b });
 }
 
 void RegionFake::restart(const std::string& name)
@@ -87,7 +87,7 @@
 
 double RegionFake::served(const std::string& team, const std::string& daemon) const
 {
-    const auto& served = m_daemons.at(daemon).served;
+    const auto& served = m_daemons.at(daemon).servedByTeam;
     auto found = served.find(team);
     return found == served.end() ? 0 : found->second;
 }
@@ -95,12 +95,12 @@
 void RegionFake::resetServed()
 {
     for (auto& [name, daemon] : m_daemons)
-        daemon.served.clear();
+        daemon.servedByTeam.clear();
 }
 
-void RegionFake::fill(Daemon& daemon)
+void RegionFake::fillBacklog(Daemon& daemon)
 {
-    for (const std::string& team : daemon.backlogged) {
+    for (const std::string& team : daemon.backloggedTeams) {
         while (daemon.queue->teamSize(team) < backlogDepth) {
             auto mean = m_meanCost.find(team);
             double cost = (mean == m_meanCost.end() ? 500 : mean->second) * -std::log(1 - m_random.unit()) + 1;
@@ -111,39 +111,39 @@
 
 void RegionFake::startWork(Daemon& daemon)
 {
-    fill(daemon);
-    while (daemon.busy < daemon.spec.slots) {
+    fillBacklog(daemon);
+    while (daemon.busySlots < daemon.spec.slots) {
         std::optional<QueuedRequest> next = daemon.queue->pickNext([](const QueuedRequest&) { return true; }, now());
         if (!next)
             return;
-        fill(daemon);
-        ++daemon.busy;
-        daemon.served[next->team] += next->cost;
+        fillBacklog(daemon);
+        ++daemon.busySlots;
+        daemon.servedByTeam[next->team] += next->cost;
         double slotRate = daemon.spec.tokensPerSecond / static_cast<double>(daemon.spec.slots);
         auto service = std::chrono::ceil<Duration>(std::chrono::duration<double>(next->cost / slotRate));
         m_scheduler.callAfter(service, [this, &daemon] {
-            --daemon.busy;
+            --daemon.busySlots;
             startWork(daemon);
         });
     }
 }
 
-void RegionFake::scheduleBeat(const std::string& name)
+void RegionFake::scheduleHeartbeats(const std::string& name)
 {
-    beat(name);
-    m_scheduler.callAfter(heartbeat, [this, name] { scheduleBeat(name); });
+    sendHeartbeats(name);
+    m_scheduler.callAfter(heartbeatInterval, [this, name] { scheduleHeartbeats(name); });
 }
 
-void RegionFake::beat(const std::string& name)
+void RegionFake::sendHeartbeats(const std::string& name)
 {
     Daemon& daemon = m_daemons.at(name);
     daemon.queue->refreshShares(now());
     ServiceSource source { name, daemon.incarnation };
     for (const auto& [peer, unused] : m_daemons) {
-        if (peer == name || m_cuts.count({ name, peer }))
+        if (peer == name || m_partitions.count({ name, peer }))
             continue;
         std::string to = peer;
-        m_scheduler.callAfter(delay, [this, source, to, counters = daemon.queue->servedCounters()] {
+        m_scheduler.callAfter(heartbeatDelay, [this, source, to, counters = daemon.queue->servedCounters()] {
             for (const ServiceCounter& counter : counters)
                 m_daemons.at(to).queue->applyRemoteService(source, counter, now());
         });
--- a/unittests/Admission/RegionFake.h
+++ b/unittests/Admission/RegionFake.h
@@ -11,25 +11,27 @@
 
 namespace catkinwing {
 
-/// A daemon of the fake region: slots that each serve tokens at a fixed rate.
+/// Daemon of the fake region. Each slot serves tokens at a fixed rate.
 struct DaemonSpec {
     std::string name;
     std::size_t slots { 8 };
+    /// Rate of all slots together.
     double tokensPerSecond { 8000 };
 };
 
-/// Daemons with a fair queue each, that exchange served counters in heartbeats
-/// with a delay. Serves requests of one pool on a manual clock.
+/// Region of daemons that each have a fair queue and exchange served counters in
+/// delayed heartbeats. The fake serves requests of one pool on a
+/// manual clock.
 class RegionFake {
 public:
     RegionFake(std::vector<DaemonSpec> daemons, const std::vector<TeamPolicy>& teams, std::uint64_t seed);
 
-    /// Keeps a backlog of \p team at \p daemon from now on, or stops to.
+    /// Starts or stops keeping a backlog of \p team at \p daemon.
     void setBacklogged(const std::string& team, const std::string& daemon, bool backlogged);
     /// Sets the mean cost of a team's requests in tokens.
     void setMeanCost(const std::string& team, double tokens) { m_meanCost[team] = tokens; }
-    /// Cuts or heals the heartbeats between two daemons.
-    void setCut(const std::string& a, const std::string& b, bool cut);
+    /// Blocks or restores the heartbeats between two daemons.
+    void setPartitioned(const std::string& a, const std::string& b, bool partitioned);
     /// Restarts a daemon with an empty queue and a new incarnation.
     void restart(const std::string& daemon);
     void run(Duration span);
@@ -40,30 +42,31 @@
     FairQueue& queue(const std::string& daemon) { return *m_daemons.at(daemon).queue; }
     TimePoint now() const { return m_scheduler.clock().now(); }
 
-    Duration heartbeat { std::chrono::milliseconds(500) };
-    Duration delay { std::chrono::milliseconds(500) };
+    Duration heartbeatInterval { std::chrono::milliseconds(500) };
+    /// Time from sending to receiving a heartbeat.
+    Duration heartbeatDelay { std::chrono::milliseconds(500) };
 
 private:
     struct Daemon {
         DaemonSpec spec;
         std::unique_ptr<FairQueue> queue;
         std::uint64_t incarnation { 1 };
-        std::size_t busy { 0 };
-        std::set<std::string> backlogged;
-        std::map<std::string, double> served;
+        std::size_t busySlots { 0 };
+        std::set<std::string> backloggedTeams;
+        std::map<std::string, double> servedByTeam;
     };
 
-    void fill(Daemon& daemon);
+    void fillBacklog(Daemon& daemon);
     void startWork(Daemon& daemon);
-    void beat(const std::string& name);
-    void scheduleBeat(const std::string& name);
+    void sendHeartbeats(const std::string& name);
+    void scheduleHeartbeats(const std::string& name);
 
     ManualScheduler m_scheduler;
     Random m_random;
     std::vector<TeamPolicy> m_teams;
     std::map<std::string, double> m_meanCost;
     std::map<std::string, Daemon> m_daemons;
-    std::set<std::set<std::string>> m_cuts;
+    std::set<std::set<std::string>> m_partitions;
     RequestId m_lastId { 0 };
 };
 
--- a/unittests/Admission/RegionalSharesTest.cpp
+++ b/unittests/Admission/RegionalSharesTest.cpp
@@ -8,33 +8,34 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-/// Teams with the daemons where they are backlogged and their fair shares.
-struct Expected {
+/// Team, the daemons where it is backlogged, and its fair share of the region.
+struct ExpectedShare {
     std::string team;
     std::vector<std::string> daemons;
     double share;
 };
 
-static void setUp(RegionFake& region, const std::vector<Expected>& expected)
+static void startBacklogs(RegionFake& region, const std::vector<ExpectedShare>& expected)
 {
-    for (const Expected& entry : expected) {
+    for (const ExpectedShare& entry : expected) {
         for (const std::string& daemon : entry.daemons)
             region.setBacklogged(entry.team, daemon, true);
     }
 }
 
-/// Runs for \p span and returns the largest shortfall of a team against its share.
-static double worstShortfall(RegionFake& region, const std::vector<Expected>& expected, Duration span)
+/// Runs for \p span and returns the largest shortfall of a team, as a
+/// fraction of its share.
+static double maxShortfall(RegionFake& region, const std::vector<ExpectedShare>& expected, Duration span)
 {
     region.resetServed();
     region.run(span);
     double total = 0;
-    for (const Expected& entry : expected)
+    for (const ExpectedShare& entry : expected)
         total += region.served(entry.team);
-    double worst = 0;
-    for (const Expected& entry : expected)
-        worst = std::max(worst, 1 - region.served(entry.team) / total / entry.share);
-    return worst;
+    double maximum = 0;
+    for (const ExpectedShare& entry : expected)
+        maximum = std::max(maximum, 1 - region.served(entry.team) / total / entry.share);
+    return maximum;
 }
 
 static std::vector<DaemonSpec> daemonsNamed(const std::vector<std::string>& names)
@@ -46,87 +47,87 @@
     return specs;
 }
 
-TEST_CASE("a team that uses two cells gets its share once")
+TEST_CASE("a team that uses two daemons gets its share once")
 {
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
         RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, seed);
-        std::vector<Expected> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
-        setUp(region, expected);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
+        std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
+        startBacklogs(region, expected);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
-TEST_CASE("shares hold between cells of very different capacity")
+TEST_CASE("teams get their shares from daemons of very different capacity")
 {
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
         RegionFake region({ { "x", 20, 20000 }, { "y", 2, 2000 } }, { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, seed);
-        // The small cell can give c no more than all it has.
-        std::vector<Expected> expected { { "a", { "x", "y" }, 5.0 / 11 }, { "b", { "x" }, 5.0 / 11 }, { "c", { "y" }, 1.0 / 11 } };
-        setUp(region, expected);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
+        // The share of c is limited by the capacity of the small daemon.
+        std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 5.0 / 11 }, { "b", { "x" }, 5.0 / 11 }, { "c", { "y" }, 1.0 / 11 } };
+        startBacklogs(region, expected);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
-TEST_CASE("shares hold between many daemons with slow heartbeats")
+TEST_CASE("teams get their shares from many daemons with slow heartbeats")
 {
-    std::vector<std::string> all { "d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8" };
+    std::vector<std::string> allDaemons { "d0", "d1", "d2", "d3", "d4", "d5", "d6", "d7", "d8" };
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
-        RegionFake region(daemonsNamed(all), { teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) }, seed);
-        region.heartbeat = 1s;
-        region.delay = 1s;
-        std::vector<Expected> expected { { "a", all, 0.1 }, { "b", all, 0.2 }, { "c", all, 0.7 } };
-        setUp(region, expected);
+        RegionFake region(daemonsNamed(allDaemons), { teamOf("a", 1), teamOf("b", 2), teamOf("c", 7) }, seed);
+        region.heartbeatInterval = 1s;
+        region.heartbeatDelay = 1s;
+        std::vector<ExpectedShare> expected { { "a", allDaemons, 0.1 }, { "b", allDaemons, 0.2 }, { "c", allDaemons, 0.7 } };
+        startBacklogs(region, expected);
         for (int window = 0; window < 4; ++window)
-            CHECK(worstShortfall(region, expected, 30s) < 0.05);
+            CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
-TEST_CASE("a team alone in one cell leaves the other to its rival")
+TEST_CASE("a team that has one daemon to itself leaves the other daemon to the second team")
 {
     for (std::uint64_t seed : { 1, 2, 3 }) {
         INFO("seed " << seed);
         RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, seed);
-        std::vector<Expected> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
-        setUp(region, expected);
-        CHECK(worstShortfall(region, expected, 30s) < 0.1);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
-        CHECK(worstShortfall(region, expected, 30s) < 0.05);
+        std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
+        startBacklogs(region, expected);
+        CHECK(maxShortfall(region, expected, 30s) < 0.1);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
+        CHECK(maxShortfall(region, expected, 30s) < 0.05);
     }
 }
 
-TEST_CASE("teams that use all daemons alike are served alike in each")
+TEST_CASE("teams with the same backlog at all daemons get the same rate from each daemon")
 {
-    std::vector<std::string> all { "x", "y", "z" };
-    RegionFake region(daemonsNamed(all), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 6);
-    setUp(region, { { "a", all, 1.0 / 3 }, { "b", all, 1.0 / 3 }, { "c", all, 1.0 / 3 } });
+    std::vector<std::string> allDaemons { "x", "y", "z" };
+    RegionFake region(daemonsNamed(allDaemons), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 6);
+    startBacklogs(region, { { "a", allDaemons, 1.0 / 3 }, { "b", allDaemons, 1.0 / 3 }, { "c", allDaemons, 1.0 / 3 } });
     region.run(30min);
     region.resetServed();
     region.run(60s);
     for (const char* team : { "a", "b", "c" }) {
-        for (const std::string& daemon : all)
+        for (const std::string& daemon : allDaemons)
             CHECK(region.served(team, daemon) == Approx(60 * 8000 / 3.0).epsilon(0.2));
     }
 }
 
-TEST_CASE("after a cut of an hour no team starves")
+TEST_CASE("teams keep their shares after the heartbeats were blocked for an hour")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, 7);
-    std::vector<Expected> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
-    setUp(region, expected);
+    std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 0.5 }, { "b", { "x" }, 0.5 } };
+    startBacklogs(region, expected);
     region.run(30s);
-    region.setCut("x", "y", true);
+    region.setPartitioned("x", "y", true);
     region.run(60min);
-    // Each side shares out what it can see.
+    // Each daemon divides its own capacity among the teams that it serves.
     region.resetServed();
     region.run(30s);
     CHECK(region.served("a", "x") / region.served("b", "x") == Approx(1).epsilon(0.05));
 
-    region.setCut("x", "y", false);
+    region.setPartitioned("x", "y", false);
     region.setBacklogged("a", "y", false);
     region.run(10s);
     region.resetServed();
@@ -134,14 +135,15 @@
     CHECK(region.served("a", "x") / region.served("b", "x") == Approx(1).epsilon(0.1));
 }
 
-TEST_CASE("a team whose cell is lost gets its share in the other within seconds")
+TEST_CASE("a team whose daemon fails gets its share from the other daemon within seconds")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1) }, 8);
     region.setBacklogged("a", "y", true);
     region.setBacklogged("b", "x", true);
     region.run(60s);
-    // The cell is gone without a word; the team's callers come here.
-    region.setCut("x", "y", true);
+    // Daemon y becomes unreachable without notice, and the clients of team a use
+    // daemon x instead.
+    region.setPartitioned("x", "y", true);
     region.setBacklogged("a", "y", false);
     region.setBacklogged("a", "x", true);
     region.run(10s);
@@ -150,49 +152,49 @@
     CHECK(region.served("a", "x") / region.served("b", "x") == Approx(1).epsilon(0.1));
 }
 
-TEST_CASE("a restarted daemon keeps shares right")
+TEST_CASE("teams keep their shares after a daemon restarts")
 {
     RegionFake region(daemonsNamed({ "x", "y" }), { teamOf("a", 1), teamOf("b", 1), teamOf("c", 1) }, 9);
-    std::vector<Expected> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
-    setUp(region, expected);
+    std::vector<ExpectedShare> expected { { "a", { "x", "y" }, 1.0 / 3 }, { "b", { "x" }, 1.0 / 3 }, { "c", { "y" }, 1.0 / 3 } };
+    startBacklogs(region, expected);
     region.run(30s);
     region.restart("y");
-    CHECK(worstShortfall(region, expected, 30s) < 0.05);
+    CHECK(maxShortfall(region, expected, 30s) < 0.05);
 }
 
-TEST_CASE("late, repeated and older counters are ignored")
+TEST_CASE("counters that decrease, repeat or belong to an older incarnation are ignored")
 {
     SharePolicy policy;
     RegionalShares shares(policy);
     TimePoint now {};
-    LocalService local { 1000, 1000, 2000 };
-    auto tell = [&](std::uint64_t incarnation, std::uint64_t tokens) {
+    LocalServiceRates localRates { 1000, 1000, 2000 };
+    auto receive = [&](std::uint64_t incarnation, std::uint64_t tokens) {
         shares.apply({ "peer", incarnation }, { "a", "m", tokens }, now);
     };
     auto remoteRate = [&] {
-        RegionalStanding standing = shares.standing("a", local, now);
-        return standing.shared ? local.level * std::exp(-standing.lean) - local.team : 0;
+        RegionalStanding standing = shares.standing("a", localRates, now);
+        return standing.isShared ? localRates.fairRate * std::exp(-standing.logDeficit) - localRates.teamRate : 0;
     };
-    tell(2, 1000000);
-    // The first word only sets the baseline.
+    receive(2, 1000000);
+    // The first counter only sets the baseline.
     CHECK(remoteRate() == 0);
     now += 10s;
-    tell(2, 1010000);
-    double after = remoteRate();
-    CHECK(after == Approx(1000).epsilon(0.05));
-    tell(2, 1005000);
-    tell(1, 9000000);
-    tell(2, 1010000);
-    CHECK(remoteRate() == Approx(after));
-    // A new life counts from zero.
+    receive(2, 1010000);
+    double rateBefore = remoteRate();
+    CHECK(rateBefore == Approx(1000).epsilon(0.05));
+    receive(2, 1005000);
+    receive(1, 9000000);
+    receive(2, 1010000);
+    CHECK(remoteRate() == Approx(rateBefore));
+    // A new incarnation counts from zero.
     now += 10s;
-    tell(3, 10000);
+    receive(3, 10000);
     CHECK(remoteRate() == Approx(1000).epsilon(0.05));
-    // An hour's total after a cut counts as that hour's mean rate.
+    // A total that grew over an hour without reports counts as the mean rate of that hour.
     now += 1h;
-    tell(3, 10000 + 3600 * 1000);
+    receive(3, 10000 + 3600 * 1000);
     CHECK(remoteRate() == Approx(1000).epsilon(0.05));
-    // Silence fades.
+    // Without reports the rate decays.
     now += 30s;
     CHECK(remoteRate() == 0);
 }
--- a/unittests/Ingress/EntryFleet.h
+++ b/unittests/Ingress/EntryFleet.h
@@ -1,4 +1,5 @@
-// Entries of two regions beside endpoints that crash or refuse, without a network.
+// Simulation of entries and endpoints of two regions without a network. Endpoints can crash
+// or refuse requests.
 #pragma once
 
 #include "Gateway/FakeResponder.h"
@@ -10,30 +11,30 @@
 
 namespace catkinwing {
 
-/// A body under which every endpoint crashes that begins to run it.
-constexpr const char* deadlyBody = "deadly";
+/// Body of a request that crashes each endpoint which runs it.
+constexpr const char* crashingBody = "deadly";
 
-/// One start of a stand-in endpoint.
-struct CrashingEndpoint {
+/// One incarnation of a simulated endpoint.
+struct SimulatedEndpoint {
     std::string incarnation;
     std::string region;
     SocketAddress address;
     bool isUp { true };
-    /// Ends the requests that are under way there when it crashes.
-    std::map<std::uint64_t, std::function<void()>> breakOff;
+    /// Callbacks that end the running requests when the endpoint crashes, by request number.
+    std::map<std::uint64_t, std::function<void()>> connectionBreakers;
 };
 
-/// A client's request that has been given to an entry.
+/// A client request that was sent to an entry.
 struct SentRequest {
     std::string id;
     std::string body;
     std::size_t entry { 0 };
     TimePoint at {};
-    std::shared_ptr<FakeResponder> answer;
+    std::shared_ptr<FakeResponder> responder;
 };
 
-/// Arrival of a request at an endpoint.
-struct Arrival {
+/// One attempt of a request at an endpoint.
+struct EndpointAttempt {
     std::string request;
     std::string body;
     std::size_t entry { 0 };
@@ -42,59 +43,61 @@
 
 class EntryFleet {
 public:
-    /// As many entries and endpoints in each region as told.
+    /// \p homeRegions are the regions that the route allows. An empty list allows all.
     explicit EntryFleet(unsigned seed, std::size_t entriesPerRegion = 3, std::size_t endpointsPerRegion = 6, std::vector<std::string> homeRegions = {});
     ~EntryFleet();
 
-    /// Gives a request to an entry.
+    /// Sends a client request to an entry.
     void send(std::size_t entry, const std::string& body, const std::string& host = "h");
-    void sendToAny(const std::string& body) { send(random.below(m_entries.size()), body); }
-    /// Sets how often a request may be run.
-    void setAttempts(unsigned attempts);
-    /// Moves time forward; endpoints that crashed start again after a while.
+    void sendToRandomEntry(const std::string& body) { send(random.below(m_entries.size()), body); }
+    /// Sets the max number of attempts of a request.
+    void setMaxAttempts(unsigned maxAttempts);
+    /// Advances the simulated time by \p span in small steps.
     void advance(Duration span);
-    /// Crashes an endpoint that is up; nothing if there is none in \p region.
+    /// Crashes one running endpoint of \p region; does nothing if there is none.
     void crashOne(const std::string& region);
     /// Crashes all endpoints of all regions at once.
     void crashAll();
-    /// Gives an entry's place to a new process that knows nothing.
+    /// Replaces an entry by a new process that has its address and none of its state.
     void restartEntry(std::size_t entry);
-    /// Ends an entry's process with all that is under way there; its registration
-    /// lapses later.
+    /// Terminates an entry and all its running requests. Its registration expires later.
     void killEntry(std::size_t entry);
     bool isUp(std::size_t entry) const;
-    /// Takes an entry's registration from all others.
+    /// Removes the registration of an entry at all entries.
     void removeRegistration(std::size_t entry);
-    /// Cuts off what entries of different regions tell each other, or heals it.
-    void cutRegions(bool isCut) { m_areRegionsCut = isCut; }
-    /// Nothing that is told reaches the entry or leaves it.
-    void silence(std::size_t entry) { m_silenced.insert(entry); }
-    /// Part of what arrives that endpoints refuse to run.
-    double refused { 0 };
-    /// Part of what entries tell each other that is lost.
-    double lost { 0 };
-    /// Bytes of reports of crashes that each entry has sent.
-    std::vector<std::size_t> bytesTold;
+    /// Starts or ends a network partition between the regions.
+    void setRegionsPartitioned(bool isPartitioned) { m_areRegionsPartitioned = isPartitioned; }
+    /// Drops all datagrams to and from the entry.
+    void dropDatagrams(std::size_t entry) { m_droppingEntries.insert(entry); }
+    /// Fraction of the attempts that endpoints refuse.
+    double refusedFraction { 0 };
+    /// Fraction of the datagrams between entries that are lost.
+    double lostFraction { 0 };
+    /// Bytes of crash reports that each entry has sent.
+    std::vector<std::size_t> reportBytesSent;
 
     std::size_t entries() const { return m_entries.size(); }
-    IngressParts& partsOf(std::size_t entry);
-    /// Returns arrivals of \p body at endpoints later than \p time.
-    std::size_t arrivalsAfter(const std::string& body, TimePoint time) const;
-    /// Share of the requests with \p body, sent from \p from on, that were answered with success.
-    double servedShare(const std::string& body, TimePoint from = {}) const;
+    IngressContext& partsOf(std::size_t entry);
+    /// Returns the number of attempts with \p body at endpoints after \p time.
+    std::size_t attemptsAfter(const std::string& body, TimePoint time) const;
+    /// Returns the fraction of the requests with \p body sent at or after \p from that were
+    /// answered with status 200; zero if there are none.
+    double servedFraction(const std::string& body, TimePoint from = {}) const;
     TimePoint now() const { return scheduler.clock().now(); }
 
     ManualScheduler scheduler;
     Random random;
-    /// When each endpoint crashed under the deadly body.
+    /// Times at which endpoints crashed because of crashingBody.
     std::vector<TimePoint> crashes;
-    std::vector<Arrival> arrivals;
-    std::vector<SentRequest> sent;
-    /// How long an endpoint runs a request, and how long the deadly one before it crashes.
-    Duration runsFor { std::chrono::milliseconds(60) };
-    Duration crashesAfter { std::chrono::milliseconds(250) };
-    Duration startsAgainAfter { std::chrono::milliseconds(3'000) };
-    /// Endpoints answer the deadly body like any other.
+    std::vector<EndpointAttempt> endpointAttempts;
+    std::vector<SentRequest> sentRequests;
+    /// Time that an endpoint takes to answer a request.
+    Duration answerDelay { std::chrono::milliseconds(60) };
+    /// Time from the start of a request with crashingBody to the crash of its endpoint.
+    Duration crashDelay { std::chrono::milliseconds(250) };
+    /// Time from the crash of an endpoint to its restart.
+    Duration restartDelay { std::chrono::milliseconds(3'000) };
+    /// Endpoints answer crashingBody like any other body.
     bool isRepaired { false };
 
 private:
@@ -104,28 +107,29 @@
     struct Entry;
 
     void startEndpoint(const std::string& region, const SocketAddress& address);
-    void crash(const std::shared_ptr<CrashingEndpoint>& endpoint);
+    void crash(const std::shared_ptr<SimulatedEndpoint>& endpoint);
     void makeEntry(std::size_t index);
-    void configure();
-    void tell();
+    void applyRoute();
+    void sendCrashReports();
     void deliver(std::size_t from, const std::vector<OutgoingDatagram>& datagrams);
-    void takeForward(std::size_t entry, const HttpClientRequest& request, const std::shared_ptr<PeerResponder>& responder);
-    std::shared_ptr<CrashingEndpoint> endpointAt(const SocketAddress& address) const;
+    void handleForward(std::size_t entry, const HttpClientRequest& request, const std::shared_ptr<PeerResponder>& responder);
+    std::shared_ptr<SimulatedEndpoint> endpointAt(const SocketAddress& address) const;
 
     Dialect m_dialect { testDialect() };
     std::vector<std::unique_ptr<Entry>> m_entries;
-    /// Processes that have ended.
-    std::vector<std::unique_ptr<Entry>> m_ended;
-    std::vector<std::shared_ptr<CrashingEndpoint>> m_endpoints;
-    std::size_t m_starts { 0 };
-    std::uint64_t m_requests { 0 };
+    /// Entries that restartEntry() has replaced.
+    std::vector<std::unique_ptr<Entry>> m_replacedEntries;
+    std::vector<std::shared_ptr<SimulatedEndpoint>> m_endpoints;
+    std::size_t m_endpointStarts { 0 };
+    /// Number of the last request at any endpoint.
+    std::uint64_t m_lastRequestNumber { 0 };
     Route m_route;
     std::shared_ptr<const RouteTable> m_routes;
     std::vector<EntryRecord> m_records;
     std::map<SocketAddress, std::size_t> m_entryAt;
-    std::set<std::size_t> m_silenced;
-    bool m_areRegionsCut { false };
-    TimePoint m_nextTelling {};
+    std::set<std::size_t> m_droppingEntries;
+    bool m_areRegionsPartitioned { false };
+    TimePoint m_nextReportTime {};
 };
 
 } // namespace catkinwing
--- a/unittests/Ingress/RetryBudgetTest.cpp
+++ b/unittests/Ingress/RetryBudgetTest.cpp
@@ -1,4 +1,4 @@
-// What all entries together send again while endpoints refuse.
+// Tests the number of retries of all entries together while endpoints refuse requests.
 #include "EntryFleet.h"
 
 #include <algorithm>
@@ -9,19 +9,19 @@
 using namespace std::chrono_literals;
 
 static constexpr double ratio = 0.2;
-static constexpr double slack = 50;
+static constexpr double allowance = 50;
 static constexpr Duration window = 10s;
 static constexpr Duration step = 10ms;
-static constexpr Duration untilRefusals = 10s;
+static constexpr Duration timeBeforeRefusals = 10s;
 
 namespace {
 
-/// The ten seconds in which most arrivals beyond the first of each request came,
-/// measured by what is allowed there.
+/// The window of ten seconds in which the number of retries exceeds the allowed number
+/// the most. Every attempt of a request at an endpoint but the first is a retry.
 struct WorstWindow {
-    std::size_t repeats { 0 };
+    std::size_t retries { 0 };
     double allowed { 0 };
-    double excess() const { return static_cast<double>(repeats) - allowed; }
+    double excess() const { return static_cast<double>(retries) - allowed; }
 };
 
 std::size_t countWithin(const std::vector<TimePoint>& times, TimePoint from)
@@ -31,28 +31,28 @@
     return static_cast<std::size_t>(last - first);
 }
 
-std::vector<TimePoint> repeatsOf(const EntryFleet& fleet)
+std::vector<TimePoint> retriesOf(const EntryFleet& fleet)
 {
     std::unordered_set<std::string> arrived;
-    std::vector<TimePoint> repeats;
-    for (const Arrival& arrival : fleet.arrivals) {
-        if (!arrived.insert(arrival.request).second)
-            repeats.push_back(arrival.at);
+    std::vector<TimePoint> retries;
+    for (const EndpointAttempt& attempt : fleet.endpointAttempts) {
+        if (!arrived.insert(attempt.request).second)
+            retries.push_back(attempt.at);
     }
-    return repeats;
+    return retries;
 }
 
 WorstWindow worstWindow(const EntryFleet& fleet)
 {
-    std::vector<TimePoint> repeats = repeatsOf(fleet);
+    std::vector<TimePoint> retries = retriesOf(fleet);
     std::vector<TimePoint> requests;
-    for (const SentRequest& request : fleet.sent)
+    for (const SentRequest& request : fleet.sentRequests)
         requests.push_back(request.at);
     WorstWindow worst;
     for (TimePoint from = requests.front(); from < fleet.now(); from += step) {
-        std::size_t earning = std::max({ countWithin(requests, from), countWithin(requests, from - window / 2), countWithin(requests, from - window) });
-        WorstWindow seen { countWithin(repeats, from), ratio * static_cast<double>(earning) + slack };
-        if (seen.repeats > 0 && (worst.repeats == 0 || seen.excess() > worst.excess()))
+        std::size_t countedRequests = std::max({ countWithin(requests, from), countWithin(requests, from - window / 2), countWithin(requests, from - window) });
+        WorstWindow seen { countWithin(retries, from), ratio * static_cast<double>(countedRequests) + allowance };
+        if (seen.retries > 0 && (worst.retries == 0 || seen.excess() > worst.excess()))
             worst = seen;
     }
     return worst;
@@ -65,7 +65,7 @@
     return fleet.random.below(fleet.entries());
 }
 
-/// Entries of the first region come first.
+/// Entries of the first region have the lower indices.
 std::size_t anyOfFirstRegion(EntryFleet& fleet)
 {
     return fleet.random.below(fleet.entries() / 2);
@@ -91,25 +91,26 @@
 
 void beginRefusals(EntryFleet& fleet)
 {
-    fleet.refused = 0.55 + 0.2 * fleet.random.unit();
+    fleet.refusedFraction = 0.55 + 0.2 * fleet.random.unit();
 }
 
 void checkWithinBudget(const EntryFleet& fleet, unsigned seed)
 {
     WorstWindow worst = worstWindow(fleet);
     INFO("seed " << seed);
-    CHECK(static_cast<double>(worst.repeats) <= worst.allowed);
+    CHECK(static_cast<double>(worst.retries) <= worst.allowed);
 }
 
 } // namespace
 
-// Guards against entries that spend what they earned from clients who have moved,
-// while those who got the clients earn it once more.
-TEST_CASE("repeats keep to the budget of all requests while clients move to entries elsewhere")
+// Guards against using the same budget twice. When clients move to entries of another
+// region, their earlier requests still count at the old entries, and their new requests
+// add to the budget of the new entries.
+TEST_CASE("retries stay within the budget of all requests while clients move to entries of another region")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
-        sendFor(fleet, untilRefusals, 100, anyOfFirstRegion);
+        sendFor(fleet, timeBeforeRefusals, 100, anyOfFirstRegion);
         beginRefusals(fleet);
         sendFor(fleet, 1500ms, 100, anyOfFirstRegion);
         sendFor(fleet, 12s, 100, anyOfSecondRegion);
@@ -118,8 +119,8 @@
     }
 }
 
-// Guards against entries that forget with each start what they have spent.
-TEST_CASE("repeats keep to the budget of all requests while entries are killed and start again in turn")
+// Guards against entries that lose the count of used retries with each restart.
+TEST_CASE("retries stay within the budget of all requests while entries are killed and restarted in turn")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
@@ -129,7 +130,7 @@
                 entry = anyEntry(among);
             return entry;
         };
-        sendFor(fleet, untilRefusals, 100, anyUp);
+        sendFor(fleet, timeBeforeRefusals, 100, anyUp);
         beginRefusals(fleet);
         sendFor(fleet, 500ms, 100, anyUp);
         for (std::size_t entry = 0; entry < fleet.entries(); ++entry) {
@@ -143,13 +144,14 @@
     }
 }
 
-// Guards against a part of the slack that grows while registrations lapse.
-TEST_CASE("repeats keep to the budget of all requests while regions are cut off and registrations lapse")
+// Guards against an entry's share of the retries beyond the ratio that grows while
+// registrations expire.
+TEST_CASE("retries stay within the budget of all requests while regions are disconnected and registrations expire")
 {
     for (unsigned seed = 1; seed <= 4; ++seed) {
         EntryFleet fleet(seed);
-        sendFor(fleet, untilRefusals, 20, anyOfFirstRegion);
-        fleet.cutRegions(true);
+        sendFor(fleet, timeBeforeRefusals, 20, anyOfFirstRegion);
+        fleet.setRegionsPartitioned(true);
         for (std::size_t entry = 1; entry < fleet.entries(); ++entry)
             fleet.removeRegistration(entry);
         beginRefusals(fleet);
@@ -159,20 +161,20 @@
     }
 }
 
-// Guards against a bound that is kept by hardly ever sending again.
+// Guards against a limit that is kept only because entries hardly ever retry.
 TEST_CASE("at least half of the budget is used under steady load while endpoints refuse")
 {
     for (double perSecond : { 10.0, 100.0 }) {
         EntryFleet fleet(1);
-        sendFor(fleet, untilRefusals, perSecond, anyEntry);
+        sendFor(fleet, timeBeforeRefusals, perSecond, anyEntry);
         beginRefusals(fleet);
         TimePoint began = fleet.now();
         constexpr int windows = 3;
         sendFor(fleet, window * windows, perSecond, anyEntry);
         checkWithinBudget(fleet, 1);
-        std::vector<TimePoint> repeats = repeatsOf(fleet);
-        auto used = std::count_if(repeats.begin(), repeats.end(), [began](TimePoint at) { return at >= began; });
-        double allowed = ratio * perSecond * std::chrono::duration<double>(window).count() + slack;
+        std::vector<TimePoint> retries = retriesOf(fleet);
+        auto used = std::count_if(retries.begin(), retries.end(), [began](TimePoint at) { return at >= began; });
+        double allowed = ratio * perSecond * std::chrono::duration<double>(window).count() + allowance;
         INFO(perSecond << " requests a second");
         CHECK(static_cast<double>(used) >= windows * allowed / 2);
     }
--- a/unittests/Ingress/RoutedRunTest.cpp
+++ b/unittests/Ingress/RoutedRunTest.cpp
@@ -5,7 +5,7 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static FakeHttpAnswer lost(const HttpClientRequest&)
+static FakeHttpAnswer lostAnswer(const HttpClientRequest&)
 {
     return FakeHttpAnswer::failed(HttpEnd::NoResponse, true);
 }
@@ -15,12 +15,12 @@
     return FakeHttpAnswer::failed(HttpEnd::ConnectFailed, false);
 }
 
-static FakeHttpAnswer fine(const HttpClientRequest& request)
+static FakeHttpAnswer succeeding(const HttpClientRequest& request)
 {
-    return answered(request, 200, "fine");
+    return endpointAnswer(request, 200, "fine");
 }
 
-static FakeHttpAnswer silent(const HttpClientRequest&)
+static FakeHttpAnswer unresponsive(const HttpClientRequest&)
 {
     FakeHttpAnswer answer;
     answer.status = 0;
@@ -29,27 +29,27 @@
     return answer;
 }
 
-static FakeHttpAnswer full(const HttpClientRequest&)
+static FakeHttpAnswer refusing(const HttpClientRequest&)
 {
-    return refused();
+    return refusalAnswer();
 }
 
-TEST_CASE("a request goes to an endpoint by its incarnation and its answer comes back whole")
+TEST_CASE("a request names the incarnation of its endpoint, and the client gets the complete answer")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { fine };
+    fixture.answers = { succeeding };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 200);
     CHECK(client->body == "fine");
     CHECK(client->isFinished);
-    CHECK(fixture.sent(0, "incarnation") == "e1");
+    CHECK(fixture.sentHeader(0, "incarnation") == "e1");
     CHECK(fixture.endpointClient.requests[0].target == "/p/1");
-    CHECK(fixture.parts.openRequests == 0);
+    CHECK(fixture.parts.openRequestCount == 0);
 }
 
-TEST_CASE("before a configuration is known everything is refused as not run, and not as unknown")
+TEST_CASE("requests are refused as not run before a configuration is known")
 {
     IngressFixture fixture;
     auto client = fixture.runToEnd();
@@ -58,50 +58,50 @@
     CHECK(client->head->headers.find("retry-after"));
 }
 
-TEST_CASE("a request without a route is told so")
+TEST_CASE("a request without a route is answered with status 404")
 {
     IngressFixture fixture;
-    Route other = IngressFixture::unary(RequestKind::Idempotent);
+    Route other = IngressFixture::unaryRoute(RequestKind::Idempotent);
     other.prefix = "/q/";
     fixture.configure(other);
     CHECK(fixture.runToEnd()->status() == 404);
 }
 
-TEST_CASE("a non-idempotent request whose answer is lost fails and isn't sent again")
+TEST_CASE("a non-idempotent request whose answer is lost fails and isn't retried")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { lost, fine };
+    fixture.answers = { lostAnswer, succeeding };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 502);
     CHECK(client->outcome() == "unknown");
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("what certainly did not run goes to another endpoint")
+TEST_CASE("a request that certainly did not run is retried at another endpoint")
 {
-    for (auto failure : { unreachable, full }) {
+    for (auto failure : { unreachable, refusing }) {
         IngressFixture fixture;
-        fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+        fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
         fixture.addEndpoint("e1");
         fixture.addEndpoint("e2");
-        fixture.answers = { failure, fine };
+        fixture.answers = { failure, succeeding };
         auto client = fixture.runToEnd();
         CHECK(client->status() == 200);
         REQUIRE(fixture.endpointClient.requests.size() == 2);
-        CHECK(fixture.sent(0, "incarnation") != fixture.sent(1, "incarnation"));
+        CHECK(fixture.sentHeader(0, "incarnation") != fixture.sentHeader(1, "incarnation"));
     }
 }
 
 TEST_CASE("a request that every endpoint refuses is refused as not run")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { full };
+    fixture.answers = { refusing };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 503);
     CHECK(client->outcome() == "not-run");
@@ -109,61 +109,61 @@
     CHECK(fixture.endpointClient.requests.size() == 2);
 }
 
-TEST_CASE("an idempotent request is tried again up to its route's attempts")
+TEST_CASE("an idempotent request is retried up to its route's number of attempts")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.addEndpoint("e3");
-    fixture.answers = { lost };
+    fixture.answers = { lostAnswer };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 502);
     CHECK(fixture.endpointClient.requests.size() == 2);
 }
 
-TEST_CASE("a failure that the endpoint states is handed on if no attempt does better")
+TEST_CASE("an endpoint's error answer is delivered if no retry succeeds")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     fixture.addEndpoint("e1");
-    fixture.answers = { [](const HttpClientRequest& request) { return answered(request, 500, "broken"); } };
+    fixture.answers = { [](const HttpClientRequest& request) { return endpointAnswer(request, 500, "broken"); } };
     auto client = fixture.runToEnd();
     CHECK(client->status() == 500);
     CHECK(client->body == "broken");
     CHECK(fixture.endpointClient.requests.size() == 2);
 }
 
-TEST_CASE("a retry needs a token of the budget")
+TEST_CASE("a request isn't retried when the retry budget is used up")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     while (fixture.parts.retryBudgetOf("service").tryRetry(fixture.scheduler.clock().now())) { }
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { lost, fine };
+    fixture.answers = { lostAnswer, succeeding };
     CHECK(fixture.runToEnd()->status() == 502);
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("a refusal right after the start is tried elsewhere")
+TEST_CASE("a request that is refused right after the entry's start is retried at another endpoint")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.parts.retryBudgets.clear();
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { full, fine };
+    fixture.answers = { refusing, succeeding };
     CHECK(fixture.runToEnd()->status() == 200);
 }
 
-TEST_CASE("an answer to another request is never handed on")
+TEST_CASE("an answer to another request is never delivered")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = answered(request, 200, "of another");
+        FakeHttpAnswer answer = endpointAnswer(request, 200, "of another");
         answer.headers.set("request-id", "id-0");
         return answer;
     } };
@@ -173,10 +173,10 @@
     CHECK(fixture.endpointClient.exchanges[0]->isCancelled);
 }
 
-TEST_CASE("an address that belongs to another incarnation isn't used again")
+TEST_CASE("an endpoint whose address now belongs to another incarnation isn't used again")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest&) {
         FakeHttpAnswer answer = FakeHttpAnswer::ok("");
@@ -188,10 +188,10 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("the answer at the route's timeout tells whether the request may have run")
+TEST_CASE("the answer at the route's timeout states whether the request may have run")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     for (bool hasReached : { true, false }) {
         fixture.answers = { [hasReached](const HttpClientRequest&) {
@@ -210,18 +210,18 @@
     }
 }
 
-TEST_CASE("an entry that stops takes late only what surely ends before it does")
+TEST_CASE("a stopping entry accepts later requests only if their deadline is before its end")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { [](const HttpClientRequest& request) { return answered(request, 200, "done"); } };
+    fixture.answers = { [](const HttpClientRequest& request) { return endpointAnswer(request, 200, "done"); } };
     TimePoint began = fixture.scheduler.clock().now();
-    fixture.parts.stop = PlannedStop { began, began + 4500ms };
+    fixture.parts.plannedStop = PlannedStop { began, began + 4500ms };
     CHECK(fixture.runToEnd()->status() == 200);
-    fixture.parts.stop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 1000ms };
+    fixture.parts.plannedStop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 1000ms };
     CHECK(fixture.runToEnd()->status() == 200);
-    fixture.parts.stop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 999ms };
+    fixture.parts.plannedStop = PlannedStop { fixture.scheduler.clock().now() - 3001ms, fixture.scheduler.clock().now() + 999ms };
     auto late = fixture.start();
     CHECK(late->isFinished);
     CHECK(late->status() == 503);
@@ -230,38 +230,38 @@
     CHECK(fixture.endpointClient.requests.size() == 3);
 }
 
-TEST_CASE("a request bound to another region goes to an entry there that the store turned away")
+TEST_CASE("a request bound to another region goes to an entry there whose registration has been removed")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::NonIdempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::NonIdempotent);
     route.homeRegions = { "south" };
     fixture.configure(route);
     fixture.addEndpoint("e1", "south-a");
     fixture.addEntry("s1", "south", 5'000);
-    fixture.peerClient.handler = [](const HttpClientRequest& request) { return answered(request, 200, "done"); };
+    fixture.peerClient.handler = [](const HttpClientRequest& request) { return endpointAnswer(request, 200, "done"); };
     fixture.parts.entries.remove("s1", fixture.scheduler.clock().now());
     CHECK(fixture.runToEnd()->status() == 200);
     CHECK(fixture.peerClient.requests.size() == 1);
 }
 
-TEST_CASE("a client's own deadline is passed on if it is sooner than the route's")
+TEST_CASE("a client's own deadline is sent to the endpoint if it is earlier than the route's")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { fine };
+    fixture.answers = { succeeding };
     fixture.runToEnd({ { "time-left", "300" } });
-    CHECK(std::stoi(fixture.sent(0, "time-left")) <= 300);
-    CHECK(std::stoi(fixture.sent(0, "time-left")) > 250);
+    CHECK(std::stoi(fixture.sentHeader(0, "time-left")) <= 300);
+    CHECK(std::stoi(fixture.sentHeader(0, "time-left")) > 250);
 }
 
-TEST_CASE("when the client goes its attempt is cancelled")
+TEST_CASE("the attempt is cancelled when the client disconnects")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = fine(request);
+        FakeHttpAnswer answer = succeeding(request);
         answer.delay = 500ms;
         return answer;
     } };
@@ -271,36 +271,36 @@
     CHECK(fixture.endpointClient.exchanges[0]->isCancelled);
     fixture.scheduler.advance(2s);
     CHECK(fixture.endpointClient.requests.size() == 1);
-    CHECK(fixture.parts.openRequests == 0);
+    CHECK(fixture.parts.openRequestCount == 0);
 }
 
-TEST_CASE("a stream that breaks goes on at another endpoint after its last whole event")
+TEST_CASE("a broken stream resumes at another endpoint after its last complete event")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(true));
+    fixture.configure(IngressFixture::streamRoute(true));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { [](const HttpClientRequest& request) {
-                           FakeHttpAnswer answer = streamed(request, { 1, 2 });
+                           FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
                            answer.body.emplace_back("id: 3\nda");
                            answer.end = HttpEnd::Truncated;
                            return answer;
                        },
-        [](const HttpClientRequest& request) { return streamed(request, { 3, 4 }); } };
+        [](const HttpClientRequest& request) { return streamAnswer(request, { 3, 4 }); } };
     auto client = fixture.runToEnd();
     CHECK(client->isFinished);
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3) + eventText(4));
-    CHECK(fixture.sent(1, "resume-after") == "2");
+    CHECK(fixture.sentHeader(1, "resume-after") == "2");
 }
 
-TEST_CASE("a stream that can't resume is cut off visibly, and isn't sent again")
+TEST_CASE("a broken stream that can't resume is aborted and isn't retried")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(false));
+    fixture.configure(IngressFixture::streamRoute(false));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = streamed(request, { 1 });
+        FakeHttpAnswer answer = streamAnswer(request, { 1 });
         answer.end = HttpEnd::Truncated;
         return answer;
     } };
@@ -310,13 +310,13 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("a stream that ends inside an event isn't whole")
+TEST_CASE("a stream that ends inside an event counts as broken")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(false));
+    fixture.configure(IngressFixture::streamRoute(false));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = streamed(request, { 1 });
+        FakeHttpAnswer answer = streamAnswer(request, { 1 });
         answer.body.emplace_back("id: 2\nda");
         return answer;
     } };
@@ -325,16 +325,16 @@
     CHECK(client->body == eventText(1));
 }
 
-TEST_CASE("a route bound to other regions is forwarded there, and only there")
+TEST_CASE("requests of a route bound to other regions are forwarded there and never run here")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::NonIdempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::NonIdempotent);
     route.homeRegions = { "south" };
     fixture.configure(route);
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2", "south-a");
     fixture.addEntry("south-1", "south", 77);
-    fixture.peerClient.handler = fine;
+    fixture.peerClient.handler = succeeding;
     CHECK(fixture.runToEnd()->status() == 200);
     REQUIRE(fixture.peerClient.requests.size() == 1);
     CHECK(fixture.peerClient.requests[0].server.port == 77);
@@ -345,60 +345,61 @@
     CHECK(fixture.peerClient.requests.size() == 1);
 }
 
-TEST_CASE("a long shared part is read in one region, and here if that one can't be reached")
+TEST_CASE("a long shared segment is read in one region, and here if that region is unreachable")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::Idempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::Idempotent);
     route.hasPromptAffinity = true;
     fixture.configure(route);
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2", "south-a");
     fixture.addEntry("south-1", "south", 77);
-    fixture.answers = { fine };
-    fixture.peerClient.handler = fine;
-    std::size_t kept = 0;
-    for (int part = 0; part < 40; ++part) {
+    fixture.answers = { succeeding };
+    fixture.peerClient.handler = succeeding;
+    std::size_t keptHere = 0;
+    for (int segment = 0; segment < 40; ++segment) {
         std::size_t before = fixture.endpointClient.requests.size();
         TimePoint now = fixture.scheduler.clock().now();
-        bool isOurs = fixture.parts.endpoints.regionOfPart("service", std::to_string(part), {}, now) == "north";
-        CHECK(fixture.runToEnd({ { "prompt", std::to_string(part) } })->status() == 200);
-        CHECK(fixture.endpointClient.requests.size() - before == (isOurs ? 1 : 0));
-        kept += isOurs ? 1 : 0;
+        bool isKeptHere = fixture.parts.endpoints.regionOfSegment("service", std::to_string(segment), {}, now) == "north";
+        CHECK(fixture.runToEnd({ { "prompt", std::to_string(segment) } })->status() == 200);
+        CHECK(fixture.endpointClient.requests.size() - before == (isKeptHere ? 1 : 0));
+        keptHere += isKeptHere ? 1 : 0;
     }
-    CHECK(kept > 8);
-    CHECK(kept < 32);
-    CHECK(fixture.parts.endpoints.regionOfPart("service", "1", { "south" }, fixture.scheduler.clock().now()) == "south");
+    CHECK(keptHere > 8);
+    CHECK(keptHere < 32);
+    CHECK(fixture.parts.endpoints.regionOfSegment("service", "1", { "south" }, fixture.scheduler.clock().now()) == "south");
     fixture.peerClient.handler = unreachable;
-    for (int part = 0; part < 10; ++part)
-        CHECK(fixture.runToEnd({ { "prompt", std::to_string(part) } })->status() == 200);
+    for (int segment = 0; segment < 10; ++segment)
+        CHECK(fixture.runToEnd({ { "prompt", std::to_string(segment) } })->status() == 200);
 }
 
-// Entries tell each other the hashes of parts within a region.
-TEST_CASE("a part that may not be processed here is not told to the entries here")
+// Entries of a region send each other the hashes of shared segments. Guards against
+// sending the hash of a segment that is bound to other regions.
+TEST_CASE("a segment that may not be processed here is not reported to the entries here")
 {
     for (bool isBound : { true, false }) {
         IngressFixture fixture;
-        Route route = IngressFixture::unary(RequestKind::Idempotent);
+        Route route = IngressFixture::unaryRoute(RequestKind::Idempotent);
         route.hasPromptAffinity = true;
         if (isBound)
             route.homeRegions = { "south" };
         fixture.configure(route);
         fixture.addEndpoint("e2", "south-a");
         fixture.addEntry("south-1", "south", 77);
-        fixture.peerClient.handler = fine;
+        fixture.peerClient.handler = succeeding;
         CHECK(fixture.runToEnd({ { "prompt", "part" } })->status() == 200);
-        CHECK(fixture.parts.endpoints.partsSent().size() == (isBound ? 0 : 1));
+        CHECK(fixture.parts.endpoints.takeSentSegments().size() == (isBound ? 0 : 1));
     }
 }
 
-TEST_CASE("runs at another entry's endpoints count against the route's attempts")
+TEST_CASE("attempts at another entry's endpoints count against the route's attempts")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 2));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 2));
     fixture.addEndpoint("e2", "south-a");
     fixture.addEntry("south-1", "south", 77);
     fixture.peerClient.handler = [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = answered(request, 500, "broken");
+        FakeHttpAnswer answer = endpointAnswer(request, 500, "broken");
         answer.headers.add(endpointAttemptsHeader, "2");
         return answer;
     };
@@ -409,24 +410,24 @@
     CHECK_FALSE(client->head->headers.find(endpointAttemptsHeader));
 }
 
-TEST_CASE("an entry states its runs to the one that forwarded")
+TEST_CASE("an entry reports its number of attempts to the forwarding entry")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
-    fixture.answers = { fine };
+    fixture.answers = { succeeding };
     auto client = fixture.runToEnd({}, true);
     REQUIRE(client->head->headers.find(endpointAttemptsHeader));
     CHECK(*client->head->headers.find(endpointAttemptsHeader) == "1");
 }
 
-TEST_CASE("a slow reader slows its endpoint")
+TEST_CASE("reading from an endpoint pauses while the client reads slowly")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::stream(false));
+    fixture.configure(IngressFixture::streamRoute(false));
     fixture.addEndpoint("e1");
     fixture.answers = { [](const HttpClientRequest& request) {
-        FakeHttpAnswer answer = streamed(request, { 1 });
+        FakeHttpAnswer answer = streamAnswer(request, { 1 });
         answer.isLeftOpen = true;
         return answer;
     } };
@@ -437,10 +438,10 @@
     client->leave();
 }
 
-TEST_CASE("an attempt at a start that a later one has replaced is over at once, and an idempotent request runs at the new start")
+TEST_CASE("an attempt is abandoned when its endpoint restarts, and an idempotent request is retried at the restarted endpoint")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent));
     EndpointRecord record;
     record.incarnation = "e1";
     record.startedAt = 1s;
@@ -448,7 +449,7 @@
     record.address = { "127.0.0.1", 1'000 };
     record.availabilityZone = "north-a";
     fixture.parts.endpoints.put(record, fixture.scheduler.clock().now());
-    fixture.answers = { silent, fine };
+    fixture.answers = { unresponsive, succeeding };
     auto client = fixture.start();
     fixture.scheduler.advance(100ms);
     CHECK(fixture.endpointClient.requests.size() == 1);
@@ -461,27 +462,27 @@
 
 namespace {
 
-/// Two endpoints in the north that have \p unread tokens each to read, and an
-/// entry in the south whose region says how long requests wait there.
-struct BusyRegion {
-    explicit BusyRegion(std::int64_t unread)
+/// Two endpoints in the region "north" with \p unread prompt tokens each, and an entry
+/// in "south", a region that reports how long requests wait there.
+struct BusyRegionFixture {
+    explicit BusyRegionFixture(std::int64_t unread)
     {
-        Route route = IngressFixture::unary(RequestKind::NonIdempotent);
+        Route route = IngressFixture::unaryRoute(RequestKind::NonIdempotent);
         route.latencyTarget = 600ms;
         fixture.configure(route);
         fixture.addEndpoint("e1");
         fixture.addEndpoint("e2");
-        fixture.parts.endpoints.forEach([unread](RoutedEndpoint& endpoint) { endpoint.unreadTokens = unread; });
+        fixture.parts.endpoints.forEach([unread](RoutedEndpoint& endpoint) { endpoint.unprefilledTokens = unread; });
         fixture.addEndpoint("s1", "south-a");
         fixture.addEntry("south-entry", "south", 50);
-        fixture.answers = { fine };
-        fixture.peerClient.handler = fine;
+        fixture.answers = { succeeding };
+        fixture.peerClient.handler = succeeding;
     }
 
-    void hearOfSouth(std::chrono::milliseconds wait)
+    void reportWaitInSouth(std::chrono::milliseconds wait)
     {
         RegionReport report { "south", "south-entry", ++sequence, { { serviceHash("service"), 2, wait, 20'000us, 0us } } };
-        fixture.parts.outlooks.take(report, fixture.scheduler.clock().now());
+        fixture.parts.outlooks.update(report, fixture.scheduler.clock().now());
     }
 
     IngressFixture fixture;
@@ -490,146 +491,148 @@
 
 } // namespace
 
-TEST_CASE("a request that would wait too long in every region is refused at once, as not run, with a time to come back")
+TEST_CASE("a request that would wait too long in every region is refused at once, as not run, with a retry-after time")
 {
-    BusyRegion world(60'000);
-    world.hearOfSouth(2s);
-    auto client = world.fixture.start();
+    BusyRegionFixture regions(60'000);
+    regions.reportWaitInSouth(2s);
+    auto client = regions.fixture.start();
     CHECK(client->status() == 503);
     CHECK(client->outcome() == "not-run");
     REQUIRE(client->head->headers.find("retry-after"));
     double seconds = std::stod(*client->head->headers.find("retry-after"));
     CHECK(seconds > 0.2);
     CHECK(seconds <= 1.0 / 3 + 0.001);
-    CHECK(world.fixture.endpointClient.requests.empty());
-    CHECK(world.fixture.peerClient.requests.empty());
+    CHECK(regions.fixture.endpointClient.requests.empty());
+    CHECK(regions.fixture.peerClient.requests.empty());
 }
 
-TEST_CASE("a request that would wait too long here goes to a region that has room")
+TEST_CASE("a request that would wait too long here is forwarded to a region with free capacity")
 {
-    BusyRegion world(60'000);
-    world.hearOfSouth(0ms);
-    CHECK(world.fixture.runToEnd()->status() == 200);
-    CHECK(world.fixture.peerClient.requests.size() == 1);
-    CHECK(world.fixture.endpointClient.requests.empty());
+    BusyRegionFixture regions(60'000);
+    regions.reportWaitInSouth(0ms);
+    CHECK(regions.fixture.runToEnd()->status() == 200);
+    CHECK(regions.fixture.peerClient.requests.size() == 1);
+    CHECK(regions.fixture.endpointClient.requests.empty());
 }
 
-TEST_CASE("a request stays where endpoints have room, though another region is idle")
+TEST_CASE("a request isn't forwarded while endpoints here have free capacity, even if another region is idle")
 {
-    BusyRegion world(1'000);
-    world.hearOfSouth(0ms);
-    CHECK(world.fixture.runToEnd()->status() == 200);
-    CHECK(world.fixture.endpointClient.requests.size() == 1);
+    BusyRegionFixture regions(1'000);
+    regions.reportWaitInSouth(0ms);
+    CHECK(regions.fixture.runToEnd()->status() == 200);
+    CHECK(regions.fixture.endpointClient.requests.size() == 1);
 }
 
-TEST_CASE("a forwarded request is refused where it would wait too long, since its entry knows other places")
+TEST_CASE("a forwarded request is refused if it would wait too long, so that the forwarding entry can try other regions")
 {
-    BusyRegion world(60'000);
-    auto client = world.fixture.start({}, true);
+    BusyRegionFixture regions(60'000);
+    auto client = regions.fixture.start({}, true);
     CHECK(client->status() == 503);
     CHECK(client->outcome() == "not-run");
-    CHECK(world.fixture.endpointClient.requests.empty());
+    CHECK(regions.fixture.endpointClient.requests.empty());
 }
 
-TEST_CASE("a stream that has begun goes on at an endpoint where a new request would wait too long")
+TEST_CASE("a stream that has begun may resume at an endpoint where a new request would wait too long")
 {
-    BusyRegion world(60'000);
-    Route route = IngressFixture::stream(true);
+    BusyRegionFixture regions(60'000);
+    Route route = IngressFixture::streamRoute(true);
     route.latencyTarget = 600ms;
-    world.fixture.configure(route);
-    world.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens = 0; });
-    world.fixture.answers = {
-        [&world](const HttpClientRequest& request) {
-            world.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unreadTokens += 60'000; });
-            FakeHttpAnswer answer = streamed(request, { 1, 2 });
+    regions.fixture.configure(route);
+    regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unprefilledTokens = 0; });
+    regions.fixture.answers = {
+        [&regions](const HttpClientRequest& request) {
+            regions.fixture.parts.endpoints.forEach([](RoutedEndpoint& endpoint) { endpoint.unprefilledTokens += 60'000; });
+            FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
             answer.end = HttpEnd::Truncated;
             return answer;
         },
-        [](const HttpClientRequest& request) { return streamed(request, { 3 }); }
+        [](const HttpClientRequest& request) { return streamAnswer(request, { 3 }); }
     };
-    auto client = world.fixture.runToEnd();
+    auto client = regions.fixture.runToEnd();
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3));
-    CHECK(world.fixture.sent(1, "resume-after") == "2");
+    CHECK(regions.fixture.sentHeader(1, "resume-after") == "2");
 }
 
-// A dark engine: nothing comes and no connection breaks. Answers of plain services
-// take up to half a second, so that 1.5 s without a byte from the endpoint is no wait.
-TEST_CASE("what may be repeated leaves an endpoint that has fallen silent, and what may not stays")
+// Guards against requests that wait for an unresponsive endpoint until their deadline:
+// the endpoint sends nothing and keeps the connections open. Answers of this service
+// take up to 0.5 s, so 1.5 s without a byte show that the endpoint is unresponsive.
+TEST_CASE("an unresponsive endpoint loses idempotent requests to another endpoint and keeps non-idempotent ones")
 {
     for (RequestKind kind : { RequestKind::Idempotent, RequestKind::NonIdempotent }) {
         IngressFixture fixture;
-        Route route = IngressFixture::unary(kind);
+        Route route = IngressFixture::unaryRoute(kind);
         route.timeout = 5s;
         fixture.configure(route);
         fixture.addEndpoint("e1");
         fixture.addEndpoint("e2");
-        fixture.answers = { silent, fine };
+        fixture.answers = { unresponsive, succeeding };
         auto client = fixture.start();
         fixture.scheduler.advance(800ms);
-        fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+        fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
         fixture.scheduler.advance(10ms);
         CHECK(fixture.endpointClient.requests.size() == 1);
         fixture.scheduler.advance(800ms);
-        fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+        fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
         fixture.scheduler.advance(10ms);
-        bool isRepeated = kind == RequestKind::Idempotent;
-        CHECK(fixture.endpointClient.requests.size() == (isRepeated ? 2u : 1u));
-        CHECK((isRepeated ? client->status() == 200 : !client->head));
-        // Its deadline ends what still waits.
+        bool isRetried = kind == RequestKind::Idempotent;
+        CHECK(fixture.endpointClient.requests.size() == (isRetried ? 2u : 1u));
+        CHECK((isRetried ? client->status() == 200 : !client->head));
+        // The deadline ends a request that still waits.
         fixture.scheduler.advance(10s);
-        CHECK(fixture.parts.openRequests == 0);
+        CHECK(fixture.parts.openRequestCount == 0);
     }
 }
 
-TEST_CASE("a stream that may resume leaves a silent endpoint after its last event")
+TEST_CASE("a resumable stream moves from an unresponsive endpoint to another one after its last event")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::stream(true);
+    Route route = IngressFixture::streamRoute(true);
     route.timeout = 5s;
     fixture.configure(route);
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = {
         [](const HttpClientRequest& request) {
-            FakeHttpAnswer answer = streamed(request, { 1, 2 });
+            FakeHttpAnswer answer = streamAnswer(request, { 1, 2 });
             answer.isLeftOpen = true;
             return answer;
         },
-        [](const HttpClientRequest& request) { return streamed(request, { 3 }); }
+        [](const HttpClientRequest& request) { return streamAnswer(request, { 3 }); }
     };
     auto client = fixture.start();
     fixture.scheduler.advance(1'600ms);
-    fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+    fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
     fixture.scheduler.advance(100ms);
     CHECK(client->body == eventText(1) + eventText(2) + eventText(3));
     CHECK(fixture.endpointClient.exchanges[0]->isCancelled);
-    CHECK(fixture.sent(1, "resume-after") == "2");
+    CHECK(fixture.sentHeader(1, "resume-after") == "2");
 }
 
-TEST_CASE("an entry that stood still takes no endpoint for silent")
+TEST_CASE("an entry that was paused doesn't treat endpoints as unresponsive")
 {
     IngressFixture fixture;
-    Route route = IngressFixture::unary(RequestKind::Idempotent);
+    Route route = IngressFixture::unaryRoute(RequestKind::Idempotent);
     route.timeout = 5s;
     fixture.configure(route);
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { silent, fine };
+    fixture.answers = { unresponsive, succeeding };
     fixture.start();
     fixture.scheduler.advance(3s);
-    fixture.parts.endpoints.forgiveSilence(fixture.scheduler.clock().now());
-    fixture.parts.endpoints.leaveSilent(fixture.scheduler.clock().now());
+    fixture.parts.endpoints.resetSilence(fixture.scheduler.clock().now());
+    fixture.parts.endpoints.abortUnresponsive(fixture.scheduler.clock().now());
     fixture.scheduler.advance(10ms);
     CHECK(fixture.endpointClient.requests.size() == 1);
     fixture.scheduler.advance(10s);
-    CHECK(fixture.parts.openRequests == 0);
+    CHECK(fixture.parts.openRequestCount == 0);
 }
 
-// Guards against asking region after region for what is refused everywhere.
-TEST_CASE("a refusal that holds everywhere is handed on with its time, and no other region is asked")
+// Guards against forwarding a request to one region after the other when a refusal
+// holds everywhere.
+TEST_CASE("a refusal that holds everywhere is delivered with its retry-after time, and the request isn't forwarded again")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1", "south-a");
     fixture.addEntry("s1", "south", 11);
     fixture.addEntry("s2", "south", 12);
@@ -645,20 +648,20 @@
     CHECK(*client->head->headers.find("retry-after") == "90.5");
     CHECK_FALSE(client->head->headers.find(refusedEverywhereHeader));
     CHECK(fixture.peerClient.requests.size() == 1);
-    CHECK(fixture.parts.pressures["service"].readiness("south", fixture.scheduler.clock().now()) == 1);
+    CHECK(fixture.parts.regionAcceptances["service"].acceptanceOf("south", fixture.scheduler.clock().now()) == 1);
 }
 
-TEST_CASE("a request that is refused everywhere says so to the entry that forwarded it")
+TEST_CASE("the refusal of a forwarded request states if it holds everywhere")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::Idempotent, 1));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::Idempotent, 1));
     for (int i = 1; i <= 4; ++i)
         fixture.addEndpoint("e" + std::to_string(i));
-    fixture.answers = { lost };
+    fixture.answers = { lostAnswer };
     for (int i = 0; i < 3; ++i) {
         CHECK(fixture.runToEnd()->status() == 502);
-        fixture.parts.crashing.houseKeep(fixture.scheduler.clock().now());
-        fixture.parts.endpoints.remove(fixture.sent(static_cast<std::size_t>(i), "incarnation"), fixture.scheduler.clock().now());
+        fixture.parts.crashingRequests.settleAndExpire(fixture.scheduler.clock().now());
+        fixture.parts.endpoints.remove(fixture.sentHeader(static_cast<std::size_t>(i), "incarnation"), fixture.scheduler.clock().now());
     }
     auto client = fixture.runToEnd({}, true);
     CHECK(client->status() == 503);
@@ -669,23 +672,24 @@
 
 static FakeHttpAnswer leaving(const HttpClientRequest& request)
 {
-    FakeHttpAnswer answer = fine(request);
+    FakeHttpAnswer answer = succeeding(request);
     answer.headers.add("leaving", "1");
     return answer;
 }
 
 static FakeHttpAnswer pausing(const HttpClientRequest&)
 {
-    FakeHttpAnswer answer = refused();
+    FakeHttpAnswer answer = refusalAnswer();
     answer.headers.add("pause-ms", "6000");
     return answer;
 }
 
-// Guards against believing an old registration rather than the endpoint itself.
-TEST_CASE("what an endpoint says of its leave holds for that start, also when it is registered anew")
+// Guards against an outdated registration that overrides the state that the endpoint
+// reports itself.
+TEST_CASE("an endpoint that reports that it is leaving gets no requests until its next start, even if it is registered again")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.answers = { leaving };
     CHECK(fixture.runToEnd()->status() == 200);
@@ -696,8 +700,8 @@
     CHECK(fixture.endpointClient.requests.size() == 1);
     fixture.addEndpoint("e2");
     CHECK(fixture.runToEnd()->status() == 200);
-    CHECK(fixture.sent(1, "incarnation") == "e2");
-    // Long after, another endpoint may have the name.
+    CHECK(fixture.sentHeader(1, "incarnation") == "e2");
+    // After 180 s another endpoint may use the same incarnation name.
     fixture.parts.endpoints.remove("e1", fixture.scheduler.clock().now());
     fixture.parts.endpoints.remove("e2", fixture.scheduler.clock().now());
     fixture.scheduler.advance(180s);
@@ -705,11 +709,11 @@
     CHECK(fixture.runToEnd()->status() == 200);
 }
 
-// Guards against taking what another incarnation says for the word of the one that is meant.
-TEST_CASE("an answer of another incarnation says nothing of a pause of the one that was meant")
+// Guards against applying a pause that one incarnation reports to another one.
+TEST_CASE("a pause in an answer of another incarnation doesn't apply to the chosen endpoint")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
     fixture.answers = { [](const HttpClientRequest&) {
@@ -717,19 +721,19 @@
                            answer.status = 421;
                            return answer;
                        },
-        fine };
+        succeeding };
     CHECK(fixture.runToEnd()->status() == 200);
     fixture.parts.endpoints.forEach([&](RoutedEndpoint& endpoint) { CHECK(endpoint.pausedUntil == TimePoint {}); });
 }
 
-// Guards against requests to endpoints that have asked for none for a while.
-TEST_CASE("endpoints that ask for a pause get nothing until its end, and clients are told when that is")
+// Guards against requests to endpoints that have asked for a pause.
+TEST_CASE("endpoints that ask for a pause get no requests until its end, and refused clients get that time as retry-after time")
 {
     IngressFixture fixture;
-    fixture.configure(IngressFixture::unary(RequestKind::NonIdempotent));
+    fixture.configure(IngressFixture::unaryRoute(RequestKind::NonIdempotent));
     fixture.addEndpoint("e1");
     fixture.addEndpoint("e2");
-    fixture.answers = { pausing, pausing, fine };
+    fixture.answers = { pausing, pausing, succeeding };
     CHECK(fixture.start()->isOpen());
     fixture.scheduler.advance(10ms);
     CHECK(fixture.endpointClient.requests.size() == 2);
--- a/unittests/Ingress/RunDecisionsTest.cpp
+++ b/unittests/Ingress/RunDecisionsTest.cpp
@@ -5,107 +5,107 @@
 using namespace catkinwing;
 using namespace std::chrono_literals;
 
-static AttemptEvidence wholeAnswer()
+static AttemptEvidence completeAnswer()
 {
     AttemptEvidence evidence;
     evidence.mayHaveReached = true;
     evidence.hasHead = true;
     evidence.answer.isEndpointAnswer = true;
-    evidence.isOurs = true;
+    evidence.isForThisRequest = true;
     return evidence;
 }
 
-TEST_CASE("an attempt counts as not run only by proof")
+TEST_CASE("an attempt counts as not run only if no byte was sent or the answer states it")
 {
     AttemptEvidence evidence;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::NotRun);
     evidence.mayHaveReached = true;
     evidence.end = HttpEnd::NoResponse;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
-    evidence = wholeAnswer();
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Answered);
-    evidence.answer.wasNotRun = true;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence = completeAnswer();
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Answered);
+    evidence.answer.wasNotExecuted = true;
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::NotRun);
 }
 
-TEST_CASE("an answer that is cut, unsigned or another request's is none")
+TEST_CASE("a truncated answer, one not made by an endpoint and one to another request leave the outcome unknown")
 {
-    AttemptEvidence evidence = wholeAnswer();
+    AttemptEvidence evidence = completeAnswer();
     evidence.end = HttpEnd::Truncated;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
-    evidence = wholeAnswer();
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence = completeAnswer();
     evidence.answer.isEndpointAnswer = false;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
-    evidence = wholeAnswer();
-    evidence.isOurs = false;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence = completeAnswer();
+    evidence.isForThisRequest = false;
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
 }
 
-TEST_CASE("another entry's statement goes before what the answer looks like")
+TEST_CASE("an outcome stated by another entry takes precedence over the answer itself")
 {
-    AttemptEvidence evidence = wholeAnswer();
+    AttemptEvidence evidence = completeAnswer();
     evidence.target = AttemptTarget::Entry;
-    evidence.statedOutcome = Outcome::NotRun;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::NotRun);
-    evidence.statedOutcome = Outcome::Unknown;
-    CHECK(judgeAttempt(evidence) == AttemptVerdict::Unknown);
+    evidence.reportedOutcome = Outcome::NotRun;
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::NotRun);
+    evidence.reportedOutcome = Outcome::Unknown;
+    CHECK(classifyAttempt(evidence) == AttemptVerdict::Unknown);
 }
 
-static RunProgress freshProgress()
+static RunProgress initialProgress()
 {
     RunProgress progress;
-    progress.maxRuns = 2;
-    progress.hasBudget = true;
+    progress.maxAttempts = 2;
+    progress.hasRetryBudget = true;
     progress.timeLeft = 1s;
     return progress;
 }
 
-// Goes through every state that a run can be in.
-TEST_CASE("what may have run is never sent again unless it may be repeated, and never refused as not run")
+// Checks every possible combination of the conditions.
+TEST_CASE("a request that may have run is retried only if it may run more than once, and is never refused as not run")
 {
     for (unsigned bits = 0; bits < 128; ++bits) {
         auto bit = [bits](unsigned number) { return (bits >> number & 1) != 0; };
-        RunProgress progress = freshProgress();
+        RunProgress progress = initialProgress();
         progress.mayRepeat = bit(0);
         progress.isResumable = bit(0) && bit(1);
         progress.mayHaveRun = bit(2);
-        progress.hasDelivered = bit(2) && bit(3);
-        progress.hasBudget = bit(4);
-        progress.runs = progress.mayHaveRun ? 1 + bit(5) : 0;
+        progress.hasSentHead = bit(2) && bit(3);
+        progress.hasRetryBudget = bit(4);
+        progress.possiblyRunAttempts = progress.mayHaveRun ? 1 + bit(5) : 0;
         AttemptVerdict verdict = bit(6) ? AttemptVerdict::NotRun : AttemptVerdict::Unknown;
         if (verdict == AttemptVerdict::Unknown && !progress.mayHaveRun)
             continue;
         NextStep step = decideNext(verdict, progress);
         CAPTURE(bits);
-        if (step == NextStep::SendAgain) {
+        if (step == NextStep::Retry) {
             CHECK((progress.mayRepeat || !progress.mayHaveRun));
-            CHECK(progress.hasBudget);
-            CHECK((!progress.hasDelivered || progress.isResumable));
+            CHECK(progress.hasRetryBudget);
+            CHECK((!progress.hasSentHead || progress.isResumable));
         }
         if (step == NextStep::RefuseNotRun)
             CHECK_FALSE(progress.mayHaveRun);
-        if (progress.hasDelivered)
-            CHECK((step == NextStep::SendAgain || step == NextStep::CutOff));
+        if (progress.hasSentHead)
+            CHECK((step == NextStep::Retry || step == NextStep::Abort));
         else
-            CHECK(step != NextStep::CutOff);
+            CHECK(step != NextStep::Abort);
     }
 }
 
-TEST_CASE("attempts, refusals and time bound what is sent again")
+TEST_CASE("retries are limited by the number of attempts, the number of refusals and the time left")
 {
-    RunProgress progress = freshProgress();
+    RunProgress progress = initialProgress();
     progress.mayRepeat = true;
     progress.mayHaveRun = true;
-    progress.runs = 1;
-    CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::SendAgain);
-    progress.runs = 2;
+    progress.possiblyRunAttempts = 1;
+    CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::Retry);
+    progress.possiblyRunAttempts = 2;
     CHECK(decideNext(AttemptVerdict::Unknown, progress) == NextStep::FailUnknown);
-    progress = freshProgress();
-    progress.refusals = 1;
-    CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::SendAgain);
-    progress.refusals = 3;
+    progress = initialProgress();
+    progress.notRunAttempts = 1;
+    CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::Retry);
+    progress.notRunAttempts = 3;
     CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::RefuseNotRun);
-    progress.refusals = 1;
+    progress.notRunAttempts = 1;
     progress.timeLeft = 5ms;
     CHECK(decideNext(AttemptVerdict::NotRun, progress) == NextStep::RefuseNotRun);
 }
--- a/unittests/Ingress/StoreFollowerTest.cpp
+++ b/unittests/Ingress/StoreFollowerTest.cpp
@@ -1,4 +1,4 @@
-// What an entry believes of the store, over every order of short troubles.
+// Checks an entry's view of the store over all sequences of short faults.
 #include "StoreFollower.h"
 
 #include "Coordination/FakeStore.h"
@@ -17,12 +17,12 @@
     RemoveEndpoint,
     EvacuateZone,
     Down,
-    Silent,
-    Heal,
+    Unresponsive,
+    Recover,
     Compact,
     LoseAnswer,
 };
-constexpr int stepKinds = 9;
+constexpr int stepKindCount = 9;
 
 ConfigResult<RouteTable> readVersion(absl::string_view text)
 {
@@ -31,7 +31,7 @@
     if (absl::SimpleAtoi(text, &version))
         result.document = RouteTable(version, {}, {}, {});
     else
-        result.faults.push_back({ "", "expected a version" });
+        result.faults.push_back({ "", "expected an integer version" });
     return result;
 }
 
@@ -45,32 +45,33 @@
     return record;
 }
 
-/// The store, and what operators and endpoints have written into it.
-class WrittenStore {
+/// The store, and the state that a follower must reach: the latest version and the number
+/// of endpoints written to the store.
+class ReferenceStore {
 public:
-    explicit WrittenStore(ManualScheduler& scheduler)
+    explicit ReferenceStore(ManualScheduler& scheduler)
         : store(scheduler)
     {
         store.put("configuration", "1");
         store.put("endpoints/first", "");
     }
 
-    void take(Step step)
+    void apply(Step step)
     {
         switch (step) {
         case Step::WriteConfiguration:
-            // Versions rise in uneven steps.
+            // Versions increase by 1 to 3.
             version += version % 3 + 1;
             store.put("configuration", std::to_string(version));
             break;
         case Step::AddEndpoint:
-            store.put("endpoints/" + std::to_string(++m_added), "");
-            ++endpoints;
+            store.put("endpoints/" + std::to_string(++m_addedCount), "");
+            ++endpointCount;
             break;
         case Step::RemoveEndpoint:
-            if (m_removed < m_added) {
-                store.erase("endpoints/" + std::to_string(++m_removed));
-                --endpoints;
+            if (m_removedCount < m_addedCount) {
+                store.erase("endpoints/" + std::to_string(++m_removedCount));
+                --endpointCount;
             }
             break;
         case Step::EvacuateZone:
@@ -79,10 +80,10 @@
         case Step::Down:
             store.setDown(true);
             break;
-        case Step::Silent:
+        case Step::Unresponsive:
             store.setSilent(true);
             break;
-        case Step::Heal:
+        case Step::Recover:
             store.setDown(false);
             store.setSilent(false);
             break;
@@ -97,14 +98,14 @@
 
     FakeStore store;
     std::int64_t version { 1 };
-    std::size_t endpoints { 1 };
+    std::size_t endpointCount { 1 };
 
 private:
-    int m_added { 0 };
-    int m_removed { 0 };
+    int m_addedCount { 0 };
+    int m_removedCount { 0 };
 };
 
-/// An entry's view of the store.
+/// The tables of an entry, updated from the store.
 class FollowedTables {
 public:
     FollowedTables()
@@ -114,14 +115,14 @@
     }
 
     std::int64_t version() const { return fixture.parts.routes ? fixture.parts.routes->version() : 0; }
-    std::size_t endpoints() const { return fixture.parts.endpoints.size(); }
+    std::size_t endpointCount() const { return fixture.parts.endpoints.size(); }
 
     IngressFixture fixture;
-    WrittenStore written { fixture.scheduler };
-    std::unique_ptr<Store> client { written.store.clientOn(fixture.scheduler) };
+    ReferenceStore reference { fixture.scheduler };
+    std::unique_ptr<Store> client { reference.store.clientOn(fixture.scheduler) };
 };
 
-/// The follower that entries run.
+/// The StoreFollower that entries use.
 class Follower {
 public:
     explicit Follower(FollowedTables& tables)
@@ -129,41 +130,41 @@
     {
         m_follower.start();
     }
-    void houseKeep() { m_follower.houseKeep(); }
+    void runHousekeeping() { m_follower.runHousekeeping(); }
 
 private:
     StoreFollower m_follower;
 };
 
-/// A follower with a fault: where its watch is out of range it goes on from the
-/// present, and never learns what it missed.
-class ForgetfulFollower {
+/// A follower with a fault: if its watch is out of range, it resumes at the current
+/// revision and never receives the missed changes.
+class GapSkippingFollower {
 public:
-    explicit ForgetfulFollower(FollowedTables& tables)
+    explicit GapSkippingFollower(FollowedTables& tables)
         : m_tables(tables)
     {
         list(true);
     }
-    void houseKeep() { }
+    void runHousekeeping() { }
 
 private:
-    void list(bool takesValues)
+    void list(bool appliesValues)
     {
-        m_tables.client->list("", [this, takesValues](const absl::StatusOr<StoreListing>& listing) {
+        m_tables.client->list("", [this, appliesValues](const absl::StatusOr<StoreListing>& listing) {
             if (!listing.ok()) {
-                m_tables.fixture.scheduler.callAfter(200ms, [this, takesValues] { list(takesValues); });
+                m_tables.fixture.scheduler.callAfter(200ms, [this, appliesValues] { list(appliesValues); });
                 return;
             }
             for (const StoredValue& value : listing->values) {
-                if (takesValues)
-                    take(value);
+                if (appliesValues)
+                    apply(value);
             }
             follow(listing->revision + 1);
         });
     }
-    void take(const StoredValue& value)
+    void apply(const StoredValue& value)
     {
-        m_seen = std::max(m_seen, value.revision);
+        m_lastRevision = std::max(m_lastRevision, value.revision);
         if (value.key == "configuration")
             m_tables.fixture.parts.routes = std::make_shared<const RouteTable>(std::move(*readVersion(value.value).document));
         else if (absl::string_view(value.key).substr(0, 10) == "endpoints/")
@@ -177,72 +178,74 @@
                 if (event.isDeletion)
                     m_tables.fixture.parts.endpoints.remove(event.current.key.substr(10), m_tables.fixture.scheduler.clock().now());
                 else
-                    take(event.current);
+                    apply(event.current);
             }
         };
         callbacks.onEnd = [this](const absl::Status& status) {
-            bool isForgotten = absl::IsOutOfRange(status);
-            m_tables.fixture.scheduler.callAfter(200ms, [this, isForgotten] { isForgotten ? list(false) : follow(m_seen + 1); });
+            bool isOutOfRange = absl::IsOutOfRange(status);
+            m_tables.fixture.scheduler.callAfter(200ms, [this, isOutOfRange] { isOutOfRange ? list(false) : follow(m_lastRevision + 1); });
         };
         m_watch = m_tables.client->watch("", first, std::move(callbacks));
     }
 
     FollowedTables& m_tables;
-    StoreRevision m_seen { 0 };
+    StoreRevision m_lastRevision { 0 };
     std::unique_ptr<StoreWatch> m_watch;
 };
 
-/// Lets time pass and looks at each moment; returns what is wrong.
+/// Advances time by \p span and checks the version every 50 ms; returns the fault found,
+/// or an empty string.
 template <typename AnyFollower>
-std::string pass(FollowedTables& tables, AnyFollower& follower, Duration span)
+std::string advanceAndCheck(FollowedTables& tables, AnyFollower& follower, Duration span)
 {
-    constexpr Duration moment = 50ms;
-    for (Duration passed {}; passed < span; passed += moment) {
+    constexpr Duration checkInterval = 50ms;
+    for (Duration passed {}; passed < span; passed += checkInterval) {
         std::int64_t before = tables.version();
-        tables.fixture.scheduler.advance(moment);
-        follower.houseKeep();
+        tables.fixture.scheduler.advance(checkInterval);
+        follower.runHousekeeping();
         if (tables.version() < before)
-            return "a version fell";
-        if (tables.version() > tables.written.version)
-            return "a version that was never written";
+            return "the version in force decreased";
+        if (tables.version() > tables.reference.version)
+            return "the version in force was never written";
     }
     return "";
 }
 
-/// Takes the steps and then leaves the store well for \p span; returns what is wrong.
+/// Applies the steps, removes all faults and advances time by \p span; returns the fault
+/// found, or an empty string.
 template <typename AnyFollower>
-std::string play(const std::vector<Step>& steps, Duration span)
+std::string runSchedule(const std::vector<Step>& steps, Duration span)
 {
     FollowedTables tables;
     AnyFollower follower(tables);
-    std::string fault = pass(tables, follower, 100ms);
+    std::string fault = advanceAndCheck(tables, follower, 100ms);
     for (Step step : steps) {
-        tables.written.take(step);
+        tables.reference.apply(step);
         if (fault.empty())
-            fault = pass(tables, follower, 300ms);
+            fault = advanceAndCheck(tables, follower, 300ms);
     }
-    tables.written.take(Step::Heal);
+    tables.reference.apply(Step::Recover);
     if (fault.empty())
-        fault = pass(tables, follower, span);
+        fault = advanceAndCheck(tables, follower, span);
     if (!fault.empty())
         return fault;
-    if (tables.version() != tables.written.version)
-        return "the newest version is not in force";
-    return tables.endpoints() == tables.written.endpoints ? "" : "the endpoints aren't those of the store";
+    if (tables.version() != tables.reference.version)
+        return "the latest version is not in force";
+    return tables.endpointCount() == tables.reference.endpointCount ? "" : "the number of endpoints differs from the store's";
 }
 
 template <typename AnyFollower>
-int countFaulty(int steps)
+int countFaultySchedules(int steps)
 {
     int schedules = 1;
     for (int i = 0; i < steps; ++i)
-        schedules *= stepKinds;
+        schedules *= stepKindCount;
     int faulty = 0;
     for (int schedule = 0; schedule < schedules; ++schedule) {
-        std::vector<Step> taken;
-        for (int i = 0, rest = schedule; i < steps; ++i, rest /= stepKinds)
-            taken.push_back(static_cast<Step>(rest % stepKinds));
-        std::string fault = play<AnyFollower>(taken, 8s);
+        std::vector<Step> sequence;
+        for (int i = 0, rest = schedule; i < steps; ++i, rest /= stepKindCount)
+            sequence.push_back(static_cast<Step>(rest % stepKindCount));
+        std::string fault = runSchedule<AnyFollower>(sequence, 8s);
         if (fault.empty())
             continue;
         ++faulty;
@@ -256,57 +259,57 @@
 
 } // namespace
 
-TEST_CASE("over every order of three troubles and changes versions only rise and the store is caught up with")
+TEST_CASE("over all sequences of three faults and changes versions only increase and the tables reach the state of the store")
 {
-    CHECK(countFaulty<Follower>(3) == 0);
+    CHECK(countFaultySchedules<Follower>(3) == 0);
 }
 
-TEST_CASE("the check finds a follower that skips what it missed")
+TEST_CASE("the check detects a follower that skips missed changes")
 {
-    CHECK(countFaulty<ForgetfulFollower>(3) > 0);
+    CHECK(countFaultySchedules<GapSkippingFollower>(3) > 0);
 }
 
-TEST_CASE("over long seeded orders of troubles and changes the store is caught up with")
+TEST_CASE("over long seeded sequences of faults and changes the tables reach the state of the store")
 {
     Random random(11);
     for (int schedule = 0; schedule < 60; ++schedule) {
         std::vector<Step> steps(30);
         for (Step& step : steps)
-            step = static_cast<Step>(random.below(stepKinds));
-        // Each answer that is still to be lost takes a call's timeout and a pause.
-        std::string fault = play<Follower>(steps, 40s);
+            step = static_cast<Step>(random.below(stepKindCount));
+        // Each answer that is still to be lost takes a call timeout and a retry delay.
+        std::string fault = runSchedule<Follower>(steps, 40s);
         CAPTURE(schedule, fault);
         CHECK(fault.empty());
     }
 }
 
-// Registrations lapse while the store is away; the endpoints behind them write
-// themselves again within two seconds of its return.
-TEST_CASE("an endpoint whose registration lapsed in an outage is kept while it may come back, and no longer")
+// Registrations expire while the store is unreachable. Running endpoints register again
+// within two seconds of its recovery.
+TEST_CASE("an endpoint whose registration expired in an outage is kept for the grace period and no longer")
 {
     for (bool isCompacted : { false, true }) {
         FollowedTables tables;
         Follower follower(tables);
-        tables.written.take(Step::AddEndpoint);
-        CHECK(pass(tables, follower, 5s).empty());
-        REQUIRE(tables.endpoints() == 2);
-        tables.written.take(Step::Down);
-        CHECK(pass(tables, follower, 4s).empty());
-        tables.written.store.erase("endpoints/first");
-        tables.written.store.erase("endpoints/1");
+        tables.reference.apply(Step::AddEndpoint);
+        CHECK(advanceAndCheck(tables, follower, 5s).empty());
+        REQUIRE(tables.endpointCount() == 2);
+        tables.reference.apply(Step::Down);
+        CHECK(advanceAndCheck(tables, follower, 4s).empty());
+        tables.reference.store.erase("endpoints/first");
+        tables.reference.store.erase("endpoints/1");
         if (isCompacted)
-            tables.written.take(Step::Compact);
-        tables.written.take(Step::Heal);
+            tables.reference.apply(Step::Compact);
+        tables.reference.apply(Step::Recover);
         for (int i = 0; i < 40; ++i) {
-            CHECK(pass(tables, follower, 50ms).empty());
-            CHECK(tables.endpoints() == 2);
+            CHECK(advanceAndCheck(tables, follower, 50ms).empty());
+            CHECK(tables.endpointCount() == 2);
         }
-        tables.written.store.put("endpoints/first", "");
-        CHECK(pass(tables, follower, 2'500ms).empty());
-        CHECK(tables.endpoints() == 1);
-        // The store is calm: what vanishes now has gone.
-        tables.written.store.erase("endpoints/first");
-        CHECK(pass(tables, follower, 300ms).empty());
-        CHECK(tables.endpoints() == 0);
+        tables.reference.store.put("endpoints/first", "");
+        CHECK(advanceAndCheck(tables, follower, 2'500ms).empty());
+        CHECK(tables.endpointCount() == 1);
+        // The store is stable again: a deleted registration is removed at once.
+        tables.reference.store.erase("endpoints/first");
+        CHECK(advanceAndCheck(tables, follower, 300ms).empty());
+        CHECK(tables.endpointCount() == 0);
     }
 }
--- a/unittests/Ingress/StoreZone.h
+++ b/unittests/Ingress/StoreZone.h
@@ -10,22 +10,23 @@
 
 namespace catkinwing {
 
-/// What is wrong with an entry.
+/// The fault that an entry has.
 enum class EntryFault {
     None,
-    /// The store neither answers the entry nor refuses it.
-    StoreSilent,
-    /// The store refuses each call of the entry.
+    /// The store neither answers nor refuses the entry's calls.
+    StoreUnresponsive,
+    /// The store refuses all calls of the entry.
     StoreRefuses,
-    /// Neither the store nor the other entries are reached.
-    CutOff,
-    /// The process stands still.
-    Frozen,
-    /// The process has been killed; healed, it starts and knows nothing.
+    /// The entry reaches neither the store nor other entries.
+    Partitioned,
+    /// The process is paused.
+    Paused,
+    /// The process is killed. When the fault ends, a new process starts without data.
     Killed,
 };
 
-/// Entries that know each other, and what goes wrong with each. Registrations of entries stay.
+/// Entries of one zone with injected faults. Every entry has all the others in its table of
+/// entries throughout.
 class StoreZone {
 public:
     explicit StoreZone(std::size_t entries);
@@ -33,15 +34,15 @@
     StoreZone(const StoreZone&) = delete;
     StoreZone& operator=(const StoreZone&) = delete;
 
-    /// Lets time pass for all entries that don't stand still.
-    void pass(Duration span);
+    /// Advances the time of all entries that aren't paused.
+    void advance(Duration span);
     void setFault(std::size_t entry, EntryFault fault);
-    /// Registers an endpoint under \p name, or says that it leaves.
+    /// Registers an endpoint under \p name, or marks it as leaving.
     void registerEndpoint(const std::string& name, bool isLeaving = false);
-    /// Tells whether an entry may still send requests to an endpoint.
-    bool uses(std::size_t entry, const std::string& endpoint) const;
-    /// Tells whether nothing has been wrong with an entry for \p span.
-    bool hasBeenCalm(std::size_t entry, Duration span) const;
+    /// Returns whether an entry may still send requests to an endpoint.
+    bool mayUse(std::size_t entry, const std::string& endpoint) const;
+    /// Returns whether an entry has had no fault for \p span.
+    bool hasBeenHealthy(std::size_t entry, Duration span) const;
     bool isDirect(std::size_t entry) const;
     std::size_t size() const { return m_entries.size(); }
     TimePoint now() const { return m_scheduler.clock().now(); }
@@ -50,15 +51,15 @@
     FakeStore& store() { return m_store; }
 
 private:
-    class Path;
-    class Client;
+    class StoreConnection;
+    class PeerClient;
     struct Process;
     struct Entry {
         std::unique_ptr<Process> process;
         EntryFault fault { EntryFault::None };
-        std::uint64_t starts { 0 };
-        Duration frozenFor {};
-        TimePoint calmSince {};
+        std::uint64_t startCount { 0 };
+        Duration pausedFor {};
+        TimePoint healthySince {};
     };
 
     bool isReachable(std::size_t from, std::size_t to) const;
--- a/unittests/Membership/PeerChannelTest.cpp
+++ b/unittests/Membership/PeerChannelTest.cpp
@@ -11,25 +11,25 @@
     SentContent content;
     content.sequence = sequence;
     content.sentAt = TimePoint(sequence * 1s);
-    content.served = std::move(served);
+    content.servedTokens = std::move(served);
     return content;
 }
 
-TEST_CASE("the largest changes go first and what is gone counts as zero")
+TEST_CASE("the largest changes are returned first, and removed names count as zero")
 {
-    CountTable told { { "same", 5 }, { "grown", 10 }, { "gone", 30 } };
+    CountTable acknowledged { { "same", 5 }, { "grown", 10 }, { "gone", 30 } };
     std::vector<NamedCount> current { { "same", 5 }, { "grown", 30 }, { "new", 7 } };
-    TopChanges top = topChanges(current, told, 2);
+    TopChanges top = topChanges(current, acknowledged, 2);
     REQUIRE(top.items.size() == 2);
     CHECK(top.items[0].name == "gone");
     CHECK(top.items[0].count == 0);
     CHECK(top.items[1].name == "grown");
     CHECK(top.hasMore);
-    CHECK(topChanges(current, told, 3).items.size() == 3);
-    CHECK_FALSE(topChanges(current, told, 3).hasMore);
+    CHECK(topChanges(current, acknowledged, 3).items.size() == 3);
+    CHECK_FALSE(topChanges(current, acknowledged, 3).hasMore);
 }
 
-TEST_CASE("only what was acknowledged counts as told")
+TEST_CASE("only acknowledged content counts as known to the peer")
 {
     PeerChannel channel;
     channel.record(contentOf(1, { { "a", 10 } }));
@@ -43,7 +43,7 @@
     CHECK_FALSE(channel.acknowledge(3).has_value());
 }
 
-TEST_CASE("hashes count as known only while no other may have arrived")
+TEST_CASE("hashes count as known only while no message with other hashes may have arrived")
 {
     PeerChannel channel;
     SentContent first = contentOf(1, {});
@@ -51,17 +51,17 @@
     SentContent second = contentOf(2, {});
     second.hashes = { 2, 1, 1 };
     channel.record(first);
-    CHECK_FALSE(channel.hasOnly(first.hashes));
+    CHECK_FALSE(channel.peerHasExactly(first.hashes));
     channel.acknowledge(1);
-    CHECK(channel.hasOnly(first.hashes));
+    CHECK(channel.peerHasExactly(first.hashes));
     channel.record(second);
-    CHECK_FALSE(channel.hasOnly(first.hashes));
-    CHECK_FALSE(channel.hasOnly(second.hashes));
+    CHECK_FALSE(channel.peerHasExactly(first.hashes));
+    CHECK_FALSE(channel.peerHasExactly(second.hashes));
     channel.acknowledge(2);
-    CHECK(channel.hasOnly(second.hashes));
+    CHECK(channel.peerHasExactly(second.hashes));
 }
 
-TEST_CASE("a member that forgot is told all again")
+TEST_CASE("after a reset nothing counts as known to the member")
 {
     PeerChannel channel;
     channel.record(contentOf(1, { { "a", 10 } }));
@@ -81,7 +81,7 @@
     CHECK(tracker.increment({ "team", 20 }) == 0);
     CHECK(tracker.increment({ "team", 25 }) == 5);
     CHECK(tracker.increment({ "unseen", 70 }) == 0);
-    tracker.noteComplete();
+    tracker.recordComplete();
     CHECK(tracker.increment({ "begun", 70 }) == 70);
     tracker.reset();
     CHECK(tracker.increment({ "begun", 90 }) == 0);
--- a/unittests/Routing/CellViewTest.cpp
+++ b/unittests/Routing/CellViewTest.cpp
@@ -16,7 +16,7 @@
     return endpoint;
 }
 
-TEST_CASE("an endpoint leaves the open list at its limit and comes back")
+TEST_CASE("an endpoint is removed from the open list at its limit and added again below it")
 {
     CellView cell("caldas", "caldas-1");
     EndpointHandle handle = cell.upsert(makeEndpoint("e1", { "m", "m", "n" }));
@@ -26,11 +26,11 @@
     cell.recordDispatch(handle, 10, TimePoint(1s));
     CHECK(cell.openEndpointsFor("m").empty());
     CHECK(cell.endpointsFor("n").size() == 1);
-    cell.recordSettled(handle, TimePoint(2s));
+    cell.recordRequestEnded(handle, TimePoint(2s));
     CHECK(cell.openEndpointsFor("n").size() == 1);
 }
 
-TEST_CASE("a removed endpoint is in no list and its handle is reused")
+TEST_CASE("a removed endpoint is in no list, and its handle is reused")
 {
     CellView cell("caldas", "caldas-1");
     EndpointHandle handle = cell.upsert(makeEndpoint("e1", { "m" }));
@@ -46,11 +46,11 @@
 {
     std::size_t count = 0;
     for (EndpointHandle handle : cell.endpointsFor(model))
-        count += isOpen(cell.endpoint(handle)) ? 1 : 0;
+        count += acceptsRequest(cell.endpoint(handle)) ? 1 : 0;
     return count;
 }
 
-static void alterAtRandom(CellView& cell, EndpointHandle handle, Random& random)
+static void modifyAtRandom(CellView& cell, EndpointHandle handle, Random& random)
 {
     cell.modify(handle, [&random](EndpointView& view) {
         view.state = random.below(3) == 0 ? EndpointState::Leaving : EndpointState::Live;
@@ -60,7 +60,7 @@
     });
 }
 
-TEST_CASE("after any changes the open lists hold just the open endpoints")
+TEST_CASE("after random changes the open lists contain exactly the open endpoints")
 {
     constexpr std::uint64_t seed = 20261;
     CAPTURE(seed);
@@ -75,11 +75,11 @@
         else if (action == 0)
             cell.remove(name);
         else if (action == 1)
-            alterAtRandom(cell, *handle, random);
+            modifyAtRandom(cell, *handle, random);
         else if (action < 4)
             cell.recordDispatch(*handle, 1, TimePoint(1s));
         else
-            cell.recordSettled(*handle, TimePoint(2s));
+            cell.recordRequestEnded(*handle, TimePoint(2s));
         for (const char* model : { "m", "n" }) {
             REQUIRE(cell.openEndpointsFor(model).size() == countOpen(cell, model));
             for (EndpointHandle open : cell.openEndpointsFor(model))
